--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,12 +1,12 @@
-// Package catalog holds what one VM knows of the published configuration and of
-// the upstreams, as of one position in the store's history. It is pure: what was read
-// from the store or from a peer goes in with the time, and a View comes out.
+// Package catalog holds one VM's copy of the published configuration and the upstream
+// registrations as of one position in the store's history. It performs no I/O: callers pass in
+// what they read from the store or from a peer, together with the time, and get a View.
 //
-// The state at a position is the same on every VM, so a VM that is behind may
-// take a peer's state whole. Nothing ever goes back: an item is replaced only by
-// a later position of itself, and a state only by one of a later position, unless it was
-// never the store's and is discarded. Revisions alone order nothing: a store that comes
-// back from an older copy gives them out again, in a later era.
+// The state at a position is the same on every VM, so a VM that is behind can copy a peer's
+// state. State only moves forward: an item is replaced only by a later version of itself and a
+// state only by one at a later position, except when a state turns out never to have existed in
+// the store and is discarded. Revisions alone do not order changes: a store restored from an
+// older copy issues the same revisions again, in a later era.
 package catalog
 
 import (
@@ -19,83 +19,83 @@
 	"sycamorekeel.example/sycamorekeel/internal/routing"
 )
 
-// Kind tells what an item describes.
+// Kind is the type of an item.
 type Kind int
 
-// Kinds of items.
 const (
-	// Other items are kept for peers and used for nothing.
+	// Other items are stored and forwarded to peers but not interpreted.
 	Other Kind = iota
 	// Configuration items hold a routing.Config.
 	Configuration
 	// Registration items hold an Upstream.
 	Registration
-	// Evacuation items say that the upstreams of a data centre take no work while the item
-	// is there. Their key alone counts, whatever their value holds.
+	// Evacuation items take the upstreams of a data centre out of service while the item
+	// exists. Only the key matters; the value is ignored.
 	Evacuation
 )
 
 // Item is one published item as the store holds it.
 type Item struct {
-	Key string
-	// Value is the published text.
+	Key   string
 	Value []byte
-	// Era and Revision are the position of the item's last change.
+	// Era and Revision are the position of the last change, Created is the revision at which
+	// the key first appeared.
 	Era      uint64
 	Revision uint64
 	Created  uint64
-	// Deleted items have no value.
+	// Deleted marks a deletion, which has no value.
 	Deleted bool
 }
 
-// At is the position of the item's last change.
-func (it Item) At() Position { return Position{Era: it.Era, Revision: it.Revision} }
+// Position returns the position of the item's last change.
+func (it Item) Position() Position { return Position{Era: it.Era, Revision: it.Revision} }
 
-// Decoder turns items into what they describe. It is a pure function of the
-// item, so that all VMs agree on what is in force.
+// Decoder interprets items. It must be a pure function of the item so that all VMs agree on
+// what is in force.
 type Decoder interface {
-	// Kind tells what the key holds.
+	// Kind returns the type of the item stored under a key.
 	Kind(key string) Kind
 	// Config decodes a configuration.
 	Config(Item) (*routing.Config, error)
 	// Upstream decodes a registration.
 	Upstream(Item) (Upstream, error)
-	// Evacuated is the data centre that an evacuation's key names.
+	// Evacuated returns the data centre that an evacuation's key names.
 	Evacuated(key string) (dataCentre string)
 }
 
-// Rejected is an item that could not be decoded, or a version of the configuration that is
-// older than the one in force. Of a configuration the last good version stays in force; the
-// entry of an upstream names none.
+// Rejected describes an item that could not be decoded, or a configuration whose version is
+// older than the one in force. The last good configuration stays in force; an upstream whose
+// entry is rejected is out of use.
 type Rejected struct {
 	Key      string
 	Revision uint64
 	Err      error
-	// Repeated says that the key's version before was rejected for the same reason.
+	// Repeated is set when the previous version of the key was rejected for the same reason.
 	Repeated bool
 }
 
-// View is what is in force. It is immutable.
+// View is an immutable snapshot of what is in force.
 type View struct {
-	// Epoch counts how often what was known had to be discarded; views of a later epoch
-	// replace those of earlier ones, whatever their position.
+	// Epoch counts how often the state was discarded. A view of a later epoch replaces those of
+	// earlier epochs regardless of position.
 	Epoch uint64
-	// Era and Revision are the position in the store's history that the view shows.
+	// Era and Revision are the position in the store's history.
 	Era      uint64
 	Revision uint64
-	// Table is nil until a configuration is known.
+	// Table is the compiled configuration, nil until one is known.
 	Table *routing.Table
-	// Config is the configuration in force, nil as above.
+	// Config is the configuration in force, nil until one is known.
 	Config *routing.Config
-	// Evacuated holds the data centres whose upstreams take no work.
+	// Evacuated is the set of data centres whose upstreams take no work.
 	Evacuated map[string]bool
-	// Services holds the upstreams of each service that take work, by ID.
+	// Services lists the upstreams of each service that take work, sorted by ID.
 	Services map[string][]*Upstream
-	// Upstreams holds them all, the leaving ones included, by ID.
+	// Upstreams maps IDs to all upstreams, including those that are leaving.
 	Upstreams map[string]*Upstream
 }
 
-// Before tells whether another view is to replace this one.
+// Before reports whether other is to replace this view: it has a later epoch, or the same epoch
+// and at least the same position.
 func (v *View) Before(other *View) bool {
 	if v.Epoch != other.Epoch {
 		return v.Epoch < other.Epoch
@@ -105,9 +105,9 @@
 
 func (v *View) position() Position { return Position{Era: v.Era, Revision: v.Revision} }
 
-// TakesWork tells whether an upstream that was chosen may still be given work: one that has
-// begun to leave since, or whose data centre is evacuated, may not. One that has started
-// again counts as the same.
+// TakesWork reports whether an upstream selected from an earlier view may still receive work.
+// It may not if it has started to leave or its data centre has been evacuated since. An
+// upstream that has restarted counts as the same one.
 func (v *View) TakesWork(u *Upstream) bool {
 	now := v.Upstreams[u.ID]
 	return now != nil && v.takesWork(now)
@@ -115,75 +115,75 @@
 
 func (v *View) takesWork(u *Upstream) bool { return !u.Leaving && !v.Evacuated[u.DataCentre] }
 
-// State is the items known. It is not safe for concurrent use.
+// State holds the items known to one VM. It is not safe for concurrent use.
 type State struct {
 	decoder  Decoder
 	epoch    uint64
 	position Position
 	items    map[string]Item
-	// deletions holds the latest deletions of the era, lowest revision first; all above
-	// deletionsFloor are in it.
+	// deletions holds the latest deletions of the era in order of revision. It is complete
+	// above deletionsFloor.
 	deletions      []Item
 	deletionsFloor uint64
-	// gaps are the revisions that listings have passed over, the latest last.
+	// gaps are the revision ranges skipped by listings, the latest last.
 	gaps []Gap
 
-	// configItem is what the configuration in force was decoded from: not the newest
-	// version while that one is rejected.
+	// configItem is the item that the configuration in force was decoded from. It is not the
+	// newest version if that one was rejected.
 	configItem Item
-	documents  documents
-	// candidates are the versions of the configuration that came together, not yet
-	// decoded.
-	candidates []Item
-	config     *routing.Config
-	table      *routing.Table
-	upstreams  map[string]*Upstream
-	// evacuations are the keys of the evacuations under way.
+	history    documentHistory
+	// pendingConfigs are the versions of the configuration received in one batch that are not
+	// yet decoded.
+	pendingConfigs []Item
+	config         *routing.Config
+	table          *routing.Table
+	upstreams      map[string]*Upstream
+	// evacuations is the set of keys of active evacuations.
 	evacuations map[string]bool
-	// doubtful are upstreams whose entries went missing around an outage, and evacuations
-	// that a copy lacks, with the time at which they are given up.
-	doubtful map[string]time.Time
+	// pendingRemovals maps keys to the time at which they are removed: upstreams whose entries
+	// disappeared around an outage, and evacuations missing from a restored copy of the store.
+	pendingRemovals map[string]time.Time
 
-	// deregistered are the upstreams that were gone when an era began, while its first
-	// listing is taken in, with the time until which their entries in it are not used;
-	// restored are these entries.
+	// deregistered maps the upstreams that were gone when an era began to the time until which
+	// their entries in its first listing are not used. It is set only while that listing is
+	// applied. restored holds those entries.
 	deregistered map[string]time.Time
 	restored     map[string]restoredEntry
 
-	// starts holds the latest start that an upstream's entry has shown, by key.
+	// starts maps keys to the latest start that an upstream's entries have shown.
 	starts map[string]*latestStart
 
-	lastAnswer time.Time
-	// returned is when the last outage ended or the store came back from a copy.
-	returned time.Time
-	outage   bool
-	rejected []Rejected
-	// faults is what is wrong with the newest version of a key, in words.
-	faults map[string]string
+	lastAnswerAt time.Time
+	// recoveredAt is when the last outage ended or the store was restored from a copy.
+	recoveredAt time.Time
+	outage      bool
+	rejected    []Rejected
+	// lastFaults maps a key to the error text of its newest version, if that was rejected.
+	lastFaults map[string]string
 }
 
-// New is an empty state.
+// New returns an empty state.
 func New(now time.Time, d Decoder) *State {
 	return &State{
-		decoder:     d,
-		items:       map[string]Item{},
-		upstreams:   map[string]*Upstream{},
-		evacuations: map[string]bool{},
-		doubtful:    map[string]time.Time{},
-		restored:    map[string]restoredEntry{},
-		starts:      map[string]*latestStart{},
-		faults:      map[string]string{},
-		lastAnswer:  now,
+		decoder:         d,
+		items:           map[string]Item{},
+		upstreams:       map[string]*Upstream{},
+		evacuations:     map[string]bool{},
+		pendingRemovals: map[string]time.Time{},
+		restored:        map[string]restoredEntry{},
+		starts:          map[string]*latestStart{},
+		lastFaults:      map[string]string{},
+		lastAnswerAt:    now,
 	}
 }
 
-// Position is the position in the store's history up to which everything is known.
+// Position returns the position in the store's history up to which the state is complete.
 func (s *State) Position() Position { return s.position }
 
-// Revision is the revision of the position.
+// Revision returns the revision of Position.
 func (s *State) Revision() uint64 { return s.position.Revision }
 
-// Bytes is the size of all values known.
+// Bytes returns the total size of all values.
 func (s *State) Bytes() int {
 	bytes := 0
 	for _, it := range s.items {
@@ -192,55 +192,57 @@
 	return bytes
 }
 
-// Discard forgets everything: it was not what the store holds.
+// Discard resets the state to empty and starts a new epoch. It is called when the state turns
+// out not to match the store's history.
 func (s *State) Discard(now time.Time) {
 	epoch := s.epoch + 1
 	*s = *New(now, s.decoder)
 	s.epoch = epoch
 }
 
-// Answered notes an answer of the store; it may end an outage.
-func (s *State) Answered(now time.Time) {
+// StoreAnswered records a response of the store, which ends an outage.
+func (s *State) StoreAnswered(now time.Time) {
 	if s.outage {
 		s.outage = false
-		s.returned = now
+		s.recoveredAt = now
 	}
-	s.lastAnswer = now
+	s.lastAnswerAt = now
 }
 
-// Failed notes that the store gave no answer.
-func (s *State) Failed(now time.Time) {
-	if now.Sub(s.lastAnswer) >= outageAfter {
+// StoreFailed records that a call to the store failed. An outage begins when the store has not
+// responded for outageThreshold.
+func (s *State) StoreFailed(now time.Time) {
+	if now.Sub(s.lastAnswerAt) >= outageThreshold {
 		s.outage = true
 	}
 }
 
-// Replace takes in a whole listing: items that are known at or below its position
-// and not in it are gone, and are told to peers as deletions at that position. It is
-// for listings of the store and for the states of peers. A listing older than what is
-// known changes nothing.
+// Replace applies a complete listing of the store or a complete state of a peer. Items at or
+// below the listing's position that it lacks are removed, and recorded as deletions at that
+// position for peers. A listing older than the state is ignored. It reports whether anything in
+// force changed.
 func (s *State) Replace(now time.Time, at Position, items []Item) bool {
 	if at.Before(s.position) {
 		return false
 	}
-	copied := at.Era != s.position.Era
-	if copied {
+	newEra := at.Era != s.position.Era
+	if newEra {
 		s.beginEra(now)
 	}
-	// A peer's page may hold two versions of an item: the earlier one first.
+	// A peer's page may hold two versions of an item; apply the earlier one first.
 	items = slices.SortedFunc(slices.Values(items), byPosition)
 	listed := make(map[string]bool, len(items))
 	changed := false
 	for _, it := range items {
 		listed[it.Key] = true
-		changed = s.put(it) || changed
+		changed = s.putItem(it) || changed
 	}
-	changed = s.settleConfig() || changed
-	s.noteListing(at.Revision)
+	changed = s.activateNewestConfig() || changed
+	s.recordListing(at.Revision)
 	for key, it := range s.items {
-		if !listed[key] && !at.Before(it.At()) {
-			changed = s.remove(now, key, copied) || changed
-			s.keepDeletion(Item{Key: key, Era: at.Era, Revision: at.Revision, Deleted: true})
+		if !listed[key] && !at.Before(it.Position()) {
+			changed = s.removeItem(now, key, newEra) || changed
+			s.recordDeletion(Item{Key: key, Era: at.Era, Revision: at.Revision, Deleted: true})
 		}
 	}
 	s.position = at
@@ -248,70 +250,73 @@
 	return changed
 }
 
-// beginEra takes in that the store came back from an older copy. What it lost is written
-// again, as after an outage, whether it was away for long or not.
+// beginEra starts the era of a store restored from an older copy. The writers write again what
+// the copy lost, so the same grace period applies as after an outage, however short the store's
+// absence was.
 func (s *State) beginEra(now time.Time) {
 	s.deregistered = map[string]time.Time{}
 	for _, it := range s.deletions {
 		if _, back := s.items[it.Key]; !back && s.decoder.Kind(it.Key) == Registration {
-			s.deregistered[it.Key] = now.Add(lapseAfter)
+			s.deregistered[it.Key] = now.Add(restoredEntryDelay)
 		}
 	}
-	s.forgetDeletions()
+	s.resetDeletions()
 	if s.position.Revision > 0 {
-		s.returned = now
+		s.recoveredAt = now
 	}
 }
 
-// Apply takes in the changes from one position to another. It refuses them (false) when
-// they leave a gap, what is known ending before, or are of another era than what is known.
-func (s *State) Apply(now time.Time, after, upTo Position, changes []Item) (changed, joined bool) {
+// Apply applies the changes between two positions. It refuses them (applied is false) if they
+// start above the current position, which would leave a gap, or belong to another era.
+func (s *State) Apply(now time.Time, after, upTo Position, changes []Item) (changed, applied bool) {
 	if upTo.Era != s.position.Era || s.position.Before(after) {
 		return false, false
 	}
 	for _, it := range changes {
-		if !s.position.Before(it.At()) {
-			// Known already: one that is not held has been undone since, and taken in
-			// from an answer that comes late it would never be undone again.
+		if !s.position.Before(it.Position()) {
+			// Already covered by the state. If the item is missing it has been deleted since;
+			// applying this late change would revive it for good.
 			continue
 		}
 		if !it.Deleted {
-			changed = s.put(it) || changed
+			changed = s.putItem(it) || changed
 			continue
 		}
-		if held, ok := s.items[it.Key]; ok && held.At().Before(it.At()) {
-			changed = s.remove(now, it.Key, false) || changed
+		if held, ok := s.items[it.Key]; ok && held.Position().Before(it.Position()) {
+			changed = s.removeItem(now, it.Key, false) || changed
 		}
-		s.keepDeletion(it)
+		s.recordDeletion(it)
 	}
-	changed = s.settleConfig() || changed
+	changed = s.activateNewestConfig() || changed
 	if s.position.Before(upTo) {
 		s.position = upTo
 	}
 	return changed, true
 }
 
-// InForce is the text of the configuration in force, the zero Document without one.
-func (s *State) InForce() Document { return s.documents.newest() }
+// InForce returns the text of the configuration in force, or the zero Document if there is
+// none.
+func (s *State) InForce() Document { return s.history.latest() }
 
-// Document is the text with a hash, in force now or lately; the zero Document when it is
-// not kept.
-func (s *State) Document(sum uint64) Document { return s.documents.find(sum) }
+// Document returns the current or a recent configuration text by its hash, or the zero Document
+// if it is no longer held.
+func (s *State) Document(sum uint64) Document { return s.history.find(sum) }
 
-// put takes in one item; false when it changed nothing that is in force.
-func (s *State) put(it Item) bool {
-	if held, ok := s.items[it.Key]; ok && !held.At().Before(it.At()) {
+// putItem applies one item and reports whether that changed anything in force. Configurations
+// are queued for activateNewestConfig.
+func (s *State) putItem(it Item) bool {
+	if held, ok := s.items[it.Key]; ok && !held.Position().Before(it.Position()) {
 		return false
 	}
 	s.items[it.Key] = it
 	switch s.decoder.Kind(it.Key) {
 	case Configuration:
-		s.candidates = append(s.candidates, it)
+		s.pendingConfigs = append(s.pendingConfigs, it)
 		return false
 	case Registration:
 		return s.putUpstream(it)
 	case Evacuation:
-		delete(s.doubtful, it.Key)
+		delete(s.pendingRemovals, it.Key)
 		held := s.evacuations[it.Key]
 		s.evacuations[it.Key] = true
 		return !held
@@ -320,30 +325,30 @@
 	}
 }
 
-// settleConfig puts the newest of the versions that came together in force, and an older
-// one only where the newer are rejected, of each era in turn. Of a document that changes
-// several times a second a reader gets some versions at once: decoding those that are over
-// already would take a weak VM most of its time, and nobody would hold them to be sent
-// changes against.
-func (s *State) settleConfig() bool {
-	slices.SortFunc(s.candidates, func(a, b Item) int {
+// activateNewestConfig puts the newest valid version of a batch in force, separately for each
+// era. Versions older than a valid one are not decoded: when a document changes several times a
+// second, a reader receives several versions at once, decoding the superseded ones would take
+// most of a weak VM's time, and no peer would hold them as a base for deltas.
+func (s *State) activateNewestConfig() bool {
+	slices.SortFunc(s.pendingConfigs, func(a, b Item) int {
 		return cmp.Or(cmp.Compare(a.Era, b.Era), byPosition(b, a))
 	})
 	taken := map[uint64]bool{}
-	for _, it := range s.candidates {
-		if !taken[it.Era] && s.putConfig(it) {
+	for _, it := range s.pendingConfigs {
+		if !taken[it.Era] && s.activateConfig(it) {
 			taken[it.Era] = true
 		}
 	}
-	s.candidates = nil
+	s.pendingConfigs = nil
 	return len(taken) > 0
 }
 
-// putConfig puts one version in force; false when it is older than that in force or is
-// rejected. Until the operator has written again what the store lost, a later era begins
-// with an older version: in force, it would take back what callers have been given.
-func (s *State) putConfig(it Item) bool {
-	if !s.configItem.At().Before(it.At()) {
+// activateConfig puts one version in force. It returns false if the version is older than the
+// one in force or is rejected. After a restore, a later era begins with an older version until
+// the operator writes the lost one again; activating it would revoke routes that callers
+// already use.
+func (s *State) activateConfig(it Item) bool {
+	if !s.configItem.Position().Before(it.Position()) {
 		return false
 	}
 	c, err := s.decoder.Config(it)
@@ -352,31 +357,32 @@
 		return false
 	}
 	if s.config != nil && it.Era != s.configItem.Era && c.Version < s.config.Version {
-		s.reject(it, fmt.Errorf("version %d, of a later era, is older than version %d, which stays in force", c.Version, s.config.Version))
+		s.reject(it, fmt.Errorf("version %d of a later era is older than version %d, which stays in force", c.Version, s.config.Version))
 		return false
 	}
-	delete(s.faults, it.Key)
+	delete(s.lastFaults, it.Key)
 	s.configItem = it
-	s.documents.keep(it.Value)
+	s.history.add(it.Value)
 	s.config = c
 	s.table = routing.Compile(c)
 	return true
 }
 
+// reject records an item that was not accepted, for TakeRejected.
 func (s *State) reject(it Item, err error) {
 	fault := err.Error()
-	s.rejected = append(s.rejected, Rejected{Key: it.Key, Revision: it.Revision, Err: err, Repeated: s.faults[it.Key] == fault})
-	s.faults[it.Key] = fault
+	s.rejected = append(s.rejected, Rejected{Key: it.Key, Revision: it.Revision, Err: err, Repeated: s.lastFaults[it.Key] == fault})
+	s.lastFaults[it.Key] = fault
 }
 
-// TakeRejected is the items rejected since the last call.
+// TakeRejected returns the items rejected since the last call.
 func (s *State) TakeRejected() []Rejected {
 	r := s.rejected
 	s.rejected = nil
 	return r
 }
 
-// View is what is in force now.
+// View returns a snapshot of what is in force.
 func (s *State) View() *View {
 	v := &View{
 		Epoch:     s.epoch,
--- a/internal/catalog/documents.go
+++ b/internal/catalog/documents.go
@@ -7,53 +7,55 @@
 )
 
 const (
-	// keptBytes bounds the texts of former configurations in memory: at a megabyte a
-	// text, two of them. With one, VMs of a storm send each other ten times as much, with
-	// four as much as with two (sycamorekeel experiment spread).
-	keptBytes = 2 << 20
-	// keptTexts bounds their number: changes of 5 s at ten a second, and some more.
-	keptTexts = 64
+	// maxHistoryBytes bounds the memory for configuration texts: two at a megabyte each. With
+	// one text, VMs send each other ten times as much during a burst of changes; four save
+	// nothing over two (sycamorekeel experiment spread).
+	maxHistoryBytes = 2 << 20
+	// maxHistoryDocuments bounds the number of texts. It covers 5 s of changes at ten a second
+	// with some reserve.
+	maxHistoryDocuments = 64
 )
 
 // Document is the text of one version of a configuration.
 type Document struct {
-	// Sum is the hash of Text, by which VMs name it to each other.
+	// Sum is the hash of Text, by which VMs refer to it.
 	Sum  uint64
 	Text []byte
 }
 
-// documents keeps the latest texts that were in force, so that a peer that holds one of
-// them need not be sent the next one whole.
-type documents struct {
-	// kept holds them, the newest last.
-	kept  []Document
+// documentHistory holds the most recent configuration texts in force. A peer that holds one of
+// them can be sent the next one as a delta.
+type documentHistory struct {
+	// docs is ordered from oldest to newest.
+	docs  []Document
 	bytes int
 }
 
-func (d *documents) keep(text []byte) {
-	d.kept = append(d.kept, Document{Sum: xxhash.Sum64(text), Text: text})
+// add appends a text and drops the oldest ones above the limits.
+func (d *documentHistory) add(text []byte) {
+	d.docs = append(d.docs, Document{Sum: xxhash.Sum64(text), Text: text})
 	d.bytes += len(text)
 	drop := 0
-	for drop < len(d.kept)-1 && (d.bytes > keptBytes || len(d.kept)-drop > keptTexts) {
-		d.bytes -= len(d.kept[drop].Text)
+	for drop < len(d.docs)-1 && (d.bytes > maxHistoryBytes || len(d.docs)-drop > maxHistoryDocuments) {
+		d.bytes -= len(d.docs[drop].Text)
 		drop++
 	}
 	if drop > 0 {
-		d.kept = slices.Clone(d.kept[drop:])
+		d.docs = slices.Clone(d.docs[drop:])
 	}
 }
 
-// newest is the last one kept, the zero Document when there is none.
-func (d *documents) newest() Document {
-	if len(d.kept) == 0 {
+// latest returns the newest document, or the zero Document if there is none.
+func (d *documentHistory) latest() Document {
+	if len(d.docs) == 0 {
 		return Document{}
 	}
-	return d.kept[len(d.kept)-1]
+	return d.docs[len(d.docs)-1]
 }
 
-// find is the text with a hash, the zero Document when it is not kept.
-func (d *documents) find(sum uint64) Document {
-	for _, doc := range d.kept {
+// find returns the document with a hash, or the zero Document if it is not held.
+func (d *documentHistory) find(sum uint64) Document {
+	for _, doc := range d.docs {
 		if doc.Sum == sum {
 			return doc
 		}
--- a/internal/catalog/evacuation_test.go
+++ b/internal/catalog/evacuation_test.go
@@ -5,47 +5,47 @@
 	"time"
 )
 
-// Guards against work for an evacuated data centre, and against an evacuation that is lost on
-// its way between VMs, outlives its key, or ends because the store is away.
-func TestAnEvacuatedDataCentreTakesNoWork(t *testing.T) {
-	s := New(start, plain{})
+// Guards against giving work to an evacuated data centre, and against an evacuation that is
+// lost between VMs, outlives its key or ends during an outage of the store.
+func TestEvacuatedDataCentreTakesNoWork(t *testing.T) {
+	s := New(start, testDecoder{})
 	s.Replace(start, at(10), []Item{put("config", "h", 3), put("up/a", "s in-x", 4), put("up/b", "s in-y", 5)})
 	if changed, _ := s.Apply(start, at(10), at(11), []Item{put("evacuate/x", "{", 11)}); !changed {
-		t.Error("an evacuation is no change")
+		t.Error("an evacuation does not count as a change")
 	}
 	if changed, _ := s.Apply(start, at(11), at(12), []Item{put("evacuate/x", "written anew", 12)}); changed {
-		t.Error("the same evacuation written anew is a change")
+		t.Error("rewriting an evacuation counts as a change")
 	}
 	v := s.View()
 	if got := ids(s, "s"); got != "b" || !v.Evacuated["x"] || v.TakesWork(v.Upstreams["a"]) || !v.TakesWork(v.Upstreams["b"]) {
 		t.Errorf("takes work: %q, evacuated %v", got, v.Evacuated)
 	}
-	started := New(start, plain{})
+	started := New(start, testDecoder{})
 	page := s.PageSince(at(0))
 	started.Replace(start, page.At, page.Items)
 	if got := ids(started, "s"); got != "b" {
-		t.Errorf("a VM that has just started, by a peer's page: %q", got)
+		t.Errorf("a new VM, after a peer's page: %q", got)
 	}
 	for _, at := range []time.Duration{time.Second, 3 * time.Second, 9 * time.Second} {
-		s.Failed(start.Add(at))
+		s.StoreFailed(start.Add(at))
 		s.Tick(start.Add(at))
 	}
 	if got := ids(s, "s"); got != "b" {
-		t.Errorf("with the store away: %q", got)
+		t.Errorf("during an outage: %q", got)
 	}
-	if changed, _ := s.Apply(start, at(12), at(13), []Item{gone("evacuate/x", 13)}); !changed || ids(s, "s") != "a,b" {
-		t.Errorf("after its key is gone: changed %v, %q", changed, ids(s, "s"))
+	if changed, _ := s.Apply(start, at(12), at(13), []Item{deleted("evacuate/x", 13)}); !changed || ids(s, "s") != "a,b" {
+		t.Errorf("after its key is deleted: changed %v, %q", changed, ids(s, "s"))
 	}
 	page = s.PageSince(started.Position())
 	started.Apply(start, page.After, page.At, page.Items)
 	if got := ids(started, "s"); got != "a,b" {
-		t.Errorf("after its key is gone, by a peer's page: %q", got)
+		t.Errorf("the new VM, after its key is deleted: %q", got)
 	}
 }
 
-// Guards against an evacuation that holds on after a listing without its key.
-func TestAListingWithoutAnEvacuationEndsIt(t *testing.T) {
-	s := New(start, plain{})
+// Guards against an evacuation that stays active after a listing without its key.
+func TestListingWithoutEvacuationKeyEndsIt(t *testing.T) {
+	s := New(start, testDecoder{})
 	s.Replace(start, at(10), []Item{put("up/a", "s in-x", 4), put("evacuate/x", "", 9)})
 	if got := ids(s, "s"); got != "" {
 		t.Fatalf("takes work: %q", got)
--- a/internal/catalog/pages.go
+++ b/internal/catalog/pages.go
@@ -7,38 +7,40 @@
 	"time"
 )
 
-// keptDeletions is how many deletions are kept for peers that are a little behind;
-// one that is further behind takes everything. It is some hundred upstreams replaced
-// within seconds; a deletion takes about 100 bytes.
-const keptDeletions = 512
+// maxDeletions is how many deletions are held for peers that are slightly behind; a peer
+// further behind receives the whole state. The limit covers about a hundred upstreams replaced
+// within seconds. A deletion takes about 100 bytes.
+const maxDeletions = 512
 
-// keptGaps is how many gaps are kept: listings of several seconds, one after the other.
-const keptGaps = 32
+// maxGaps is how many gaps are held, enough for several seconds of consecutive listings.
+const maxGaps = 32
 
-// Gap is the revisions between which a listing has shown nothing of what came and went.
+// Gap is a range of revisions skipped by a listing: items created and deleted within it are
+// unknown.
 type Gap struct{ From, To uint64 }
 
-// noteListing notes that a listing leads to a revision. An item that was written and deleted
-// since the revision known before is in no listing: a peer that holds it could not be told.
-func (s *State) noteListing(to uint64) {
+// recordListing records that a listing advances the state to a revision. The listing omits
+// items written and deleted since the previous revision, so a peer that holds such an item
+// would not learn of its deletion.
+func (s *State) recordListing(to uint64) {
 	if s.deletionsFloor == 0 {
 		s.deletionsFloor = to
 		return
 	}
-	s.noteGaps([]Gap{{From: s.position.Revision, To: to}})
+	s.addGaps([]Gap{{From: s.position.Revision, To: to}})
 }
 
-// noteGaps notes gaps of this VM's listings, or of those that a peer's changes rest on.
-func (s *State) noteGaps(gaps []Gap) {
+// addGaps records gaps of this VM's listings, or gaps that a peer's changes depend on.
+func (s *State) addGaps(gaps []Gap) {
 	s.gaps = append(s.gaps, gaps...)
-	if over := len(s.gaps) - keptGaps; over > 0 {
+	if over := len(s.gaps) - maxGaps; over > 0 {
 		s.deletionsFloor = max(s.deletionsFloor, s.gaps[over-1].To)
 		s.gaps = slices.Clone(s.gaps[over:])
 	}
 }
 
-// gapsAbove is the gaps that changes above a revision rest on.
-func (s *State) gapsAbove(revision uint64) []Gap {
+// gapsAfter returns the gaps that changes after a revision depend on.
+func (s *State) gapsAfter(revision uint64) []Gap {
 	var out []Gap
 	for _, g := range s.gaps {
 		if g.From >= revision {
@@ -48,44 +50,45 @@
 	return out
 }
 
-// forgetDeletions forgets the deletions of an era that is over: no peer of the next one can
-// be told by them what is gone.
-func (s *State) forgetDeletions() { s.deletions, s.deletionsFloor, s.gaps = nil, 0, nil }
+// resetDeletions drops the deletions of a finished era, which are of no use to peers in the
+// next one.
+func (s *State) resetDeletions() { s.deletions, s.deletionsFloor, s.gaps = nil, 0, nil }
 
-// completeAbove tells whether all deletions above a revision are known.
-func (s *State) completeAbove(revision uint64) bool {
+// deletionsCompleteAfter reports whether all deletions after a revision are known.
+func (s *State) deletionsCompleteAfter(revision uint64) bool {
 	inside := func(g Gap) bool { return g.From < revision && revision < g.To }
 	return revision >= s.deletionsFloor && !slices.ContainsFunc(s.gaps, inside)
 }
 
-// keepDeletion keeps a deletion for peers.
-func (s *State) keepDeletion(it Item) {
+// recordDeletion stores a deletion for peers.
+func (s *State) recordDeletion(it Item) {
 	s.deletions = append(s.deletions, it)
-	if over := len(s.deletions) - keptDeletions; over > 0 {
+	if over := len(s.deletions) - maxDeletions; over > 0 {
 		s.deletionsFloor = s.deletions[over-1].Revision
 		s.deletions = slices.Clone(s.deletions[over:])
 	}
 }
 
-// Since is the changes after a position, for a peer, the first one first; false when not
-// all deletions after it are known, as for a position of another era.
+// ChangesSince returns the changes after a position in order of position, for a peer. It
+// returns false if not all deletions after the position are known, or the position is of
+// another era.
 //
-// Only the newest version of an item is in it. With every version since, a peer that
-// falls behind while a large document changes gets a page that grows with its lag, over
-// a link that was too slow for the last one: its pulls are given up one after the other
-// and it never catches up. Of 70 VMs over links of 20 to 200 Mbit/s, with a document of
-// 150 kB that changes eight times a second, none kept up for 5 s.
-func (s *State) Since(after Position) (changes []Item, ok bool) {
-	if after.Era != s.position.Era || !s.completeAbove(after.Revision) {
+// Only the newest version of each item is included. With every version, a peer that falls
+// behind while a large document changes would get pages that grow with its lag over a link that
+// was already too slow, so its pulls would time out one after another and it would never catch
+// up. Of 70 VMs on links of 20 to 200 Mbit/s, with a document of 150 kB that changes eight
+// times a second, none kept up for 5 s.
+func (s *State) ChangesSince(after Position) (changes []Item, ok bool) {
+	if after.Era != s.position.Era || !s.deletionsCompleteAfter(after.Revision) {
 		return nil, false
 	}
-	for _, it := range s.known() {
-		if after.Before(it.At()) {
+	for _, it := range s.peerItems() {
+		if after.Before(it.Position()) {
 			changes = append(changes, it)
 		}
 	}
 	for _, it := range s.deletions {
-		if after.Before(it.At()) && s.items[it.Key].At().Before(it.At()) {
+		if after.Before(it.Position()) && s.items[it.Key].Position().Before(it.Position()) {
 			changes = append(changes, it)
 		}
 	}
@@ -93,29 +96,30 @@
 	return changes, true
 }
 
-func byPosition(a, b Item) int { return a.At().Compare(b.At()) }
+// byPosition orders items by the position of their last change.
+func byPosition(a, b Item) int { return a.Position().Compare(b.Position()) }
 
-// Page is what one VM gives another of what it knows.
+// Page is what one VM sends another of its state.
 type Page struct {
-	// At is the position in the store's history that the page brings the receiver to.
+	// At is the position that the page brings the receiver to.
 	At Position
-	// After is the position that the items join on to; a whole page joins on to any.
+	// After is the position that the changes start from. A whole page applies at any position.
 	After Position
-	// Whole says that the items are all that are known, and not changes.
+	// Whole is set when Items is the complete state rather than changes.
 	Whole bool
 	Items []Item
-	// Gaps are those that changes rest on: a peer that is inside one is not told by them
-	// what is gone.
+	// Gaps are the gaps that the changes depend on. For a peer whose position is inside a gap
+	// the page lacks deletions.
 	Gaps []Gap
 }
 
-// PageSince is the page for a peer that knows everything up to a position: the
-// changes after it, or all items when these are not known any more.
+// PageSince returns the page for a peer whose state is complete up to a position: the changes
+// after it, or all items if those changes are no longer known.
 func (s *State) PageSince(after Position) Page {
 	page := Page{At: s.position, After: after}
 	if after.Revision > 0 {
-		if changes, ok := s.Since(after); ok {
-			page.Items, page.Gaps = changes, s.gapsAbove(after.Revision)
+		if changes, ok := s.ChangesSince(after); ok {
+			page.Items, page.Gaps = changes, s.gapsAfter(after.Revision)
 			return page
 		}
 	}
@@ -124,33 +128,34 @@
 	return page
 }
 
-// Take takes in a peer's page. It refuses (false) one that was asked for at another
-// position than is known now: the newest versions alone tell nothing of what came and went
-// since, so that a VM that has moved on meanwhile would keep what has gone.
-func (s *State) Take(now time.Time, p Page) (changed, joined bool) {
+// ApplyPage applies a peer's page. It refuses (applied is false) a page of changes requested at
+// a position other than the current one: such a page has only the newest versions, so a VM that
+// has advanced since the request would keep items that were created and deleted in between.
+func (s *State) ApplyPage(now time.Time, p Page) (changed, applied bool) {
 	switch {
 	case p.Whole:
 		return s.Replace(now, p.At, p.Items), !p.At.Before(s.position)
 	case p.After != s.position:
 		return false, false
 	default:
-		changed, joined = s.Apply(now, p.After, p.At, p.Items)
-		if joined {
-			s.noteGaps(p.Gaps)
+		changed, applied = s.Apply(now, p.After, p.At, p.Items)
+		if applied {
+			s.addGaps(p.Gaps)
 		}
-		return changed, joined
+		return changed, applied
 	}
 }
 
-// known is the newest version of each item, and those before it that tell what is in
-// force where the newest does not: peers that missed them would go on by older ones.
-func (s *State) known() []Item {
+// peerItems returns the newest version of each item, plus the earlier versions that define what
+// is in force where the newest does not. Without those, peers that missed them would continue
+// with older ones.
+func (s *State) peerItems() []Item {
 	items := make([]Item, 0, len(s.items)+1)
 	for _, it := range s.items {
 		items = append(items, it)
 	}
 	add := func(it Item) {
-		if s.items[it.Key].At() != it.At() {
+		if s.items[it.Key].Position() != it.Position() {
 			items = append(items, it)
 		}
 	}
@@ -159,16 +164,16 @@
 	}
 	for _, latest := range s.starts {
 		add(latest.item)
-		if latest.void != nil {
-			add(*latest.void)
+		if latest.unreadable != nil {
+			add(*latest.unreadable)
 		}
 	}
 	return items
 }
 
-// Items is everything known, for a peer, by key and position.
+// Items returns all items for a peer, sorted by key and position.
 func (s *State) Items() []Item {
-	items := s.known()
+	items := s.peerItems()
 	slices.SortFunc(items, func(a, b Item) int {
 		return cmp.Or(strings.Compare(a.Key, b.Key), byPosition(a, b))
 	})
--- a/internal/catalog/position.go
+++ b/internal/catalog/position.go
@@ -5,26 +5,26 @@
 	"fmt"
 )
 
-// Position is a point in the store's history. The zero Position is before all others.
+// Position is a point in the store's history. The zero Position precedes all others.
 type Position struct {
-	// Era counts how often the store came back from an older copy: what it acknowledged
-	// after the copy is lost, and it gives out the revisions since again. 0 stands for a
-	// store that does not tell.
+	// Era counts how often the store was restored from an older copy. A restore loses the
+	// changes acknowledged after the copy and issues their revisions again. Era is 0 for a
+	// store that does not report it.
 	Era uint64
-	// Revision is the store's revision, which rises with each change within an era.
+	// Revision is the store's revision, which increases with each change within an era.
 	Revision uint64
 }
 
-// Compare orders positions by the era, then by the revision.
+// Compare orders positions by era, then by revision.
 func (p Position) Compare(q Position) int {
 	return cmp.Or(cmp.Compare(p.Era, q.Era), cmp.Compare(p.Revision, q.Revision))
 }
 
-// Before tells whether the position is an earlier one than another.
+// Before reports whether p precedes q.
 func (p Position) Before(q Position) bool { return p.Compare(q) < 0 }
 
-// Above is how many revisions the position is above another one, at least 1 where it is of
-// a later era, and 0 where it is not the later one.
+// Above returns how many revisions p is ahead of q: 0 if it is not ahead, and 1 if it is in a
+// later era.
 func (p Position) Above(q Position) uint64 {
 	switch {
 	case !q.Before(p):
@@ -36,5 +36,5 @@
 	}
 }
 
-// String is the era and the revision.
+// String formats the position as "era/revision".
 func (p Position) String() string { return fmt.Sprintf("%d/%d", p.Era, p.Revision) }
--- a/internal/catalog/upstream.go
+++ b/internal/catalog/upstream.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Upstream is one upstream's registration.
+// Upstream is the registration of one upstream.
 type Upstream struct {
-	// ID names the upstream; it may keep it when it starts again.
+	// ID identifies the upstream and may stay the same across restarts.
 	ID         string
 	Service    string
 	Address    string
 	DataCentre string
-	// Software is the version of its program.
+	// Software is the version of the upstream's program.
 	Software string
-	// Slots is how many requests it runs at a time.
+	// Slots is the number of requests that the upstream runs concurrently.
 	Slots int
 	// Leaving upstreams take no new work.
 	Leaving bool
-	// ColdFor is how long it said that it would still be slow.
+	// ColdFor is how long the upstream expected to be slow after registering.
 	ColdFor time.Duration
-	// Born is when it started, by its own clock; zero when it does not say.
+	// Born is the start time by the upstream's own clock, zero if not reported.
 	Born time.Time
 	// Registered is the revision at which the entry first appeared.
 	Registered uint64
 }
 
-// StartedAfter tells whether this is a later start of the same upstream than another
-// registration shows. What was observed of the earlier one says nothing of it.
+// StartedAfter reports whether u is a later start of the same upstream than other. Observations
+// of the earlier start do not apply to the later one.
 func (u *Upstream) StartedAfter(other *Upstream) bool {
 	return !other.Born.IsZero() && u.Born.After(other.Born)
 }
--- a/internal/follow/confirm_test.go
+++ b/internal/follow/confirm_test.go
@@ -14,7 +14,7 @@
 // Cause: a VM took itself for confirmed only when it held the very revision announced
 // last, which it never does while changes come faster than pulls end.
 // Proved by the age of the confirmation beside the revision, which moves on.
-func TestAVMThatKeepsUpIsConfirmed(t *testing.T) {
+func TestVMThatKeepsUpIsConfirmed(t *testing.T) {
 	const (
 		round = 300 * time.Millisecond
 		hop   = 15 * time.Millisecond
@@ -49,10 +49,10 @@
 // live.
 // Sequence: it has listed what may be stale, and hears of a peer that has done the same.
 // Cause: a claim without a confirmation was taken for an old confirmation.
-func TestAClaimWithoutAConfirmationConfirmsNothing(t *testing.T) {
+func TestUnconfirmedClaimConfirmsNothing(t *testing.T) {
 	f := newFollower(start, "a", "r", false)
 	f.ListedStale(start, at(10), []catalog.Item{put("u1", 5)})
-	if got := names(f.Heard(start.Add(time.Second), Peer{VM: "b", Region: "s", Address: "b"}, at(10), Unconfirmed)); got != "" {
+	if got := describeActions(f.Heard(start.Add(time.Second), Peer{VM: "b", Region: "s", Address: "b"}, at(10), Unconfirmed)); got != "" {
 		t.Errorf("heard: %q", got)
 	}
 	if !f.Confirmed().IsZero() {
--- a/internal/follow/era_test.go
+++ b/internal/follow/era_test.go
@@ -9,13 +9,13 @@
 
 // Guards against a reader that joins changes of a later era on to what it knew in the former
 // one, or puts off the listing that it needs.
-func TestAWatchAnsweredInALaterEraIsFollowedByAListingAtOnce(t *testing.T) {
+func TestWatchAnsweredInLaterEraTriggersListing(t *testing.T) {
 	f, now := reader()
 	now = now.Add(bound / 4)
 	f.Tick(now)
 	later := catalog.Position{Era: 1, Revision: 12}
 	change := catalog.Item{Key: "u2", Value: []byte("x"), Era: 1, Revision: 12}
-	if got := names(f.Watched(now.Add(time.Millisecond), at(10), later, []catalog.Item{change})); got != "list" {
+	if got := describeActions(f.Watched(now.Add(time.Millisecond), at(10), later, []catalog.Item{change})); got != "list" {
 		t.Errorf("%q", got)
 	}
 	if f.State().Position() != at(10) {
@@ -25,11 +25,11 @@
 
 // Guards against claims of a later era that are not followed, as a peer made up a revision in
 // the former one.
-func TestWhatWasDisprovedInOneEraIsBelievedInTheNext(t *testing.T) {
-	f, now := believer(t)
-	f.began = now.Add(time.Second)
+func TestDisproofDoesNotCarryOverToLaterEra(t *testing.T) {
+	f, now := readerWithForgedState(t)
+	f.readStartedAt = now.Add(time.Second)
 	now = now.Add(1100 * time.Millisecond)
-	for range enoughContradictions {
+	for range disproofThreshold {
 		f.Listed(now, at(12), nil)
 	}
 	claim := catalog.Position{Era: 1, Revision: 13}
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -110,53 +110,53 @@
 
 	started  time.Time
 	lastTick time.Time
-	// alone says that no seed knows anything.
-	alone bool
-	rank  int
-	// reading says that a call to the store is open.
-	reading bool
-	// began is when the last call to the store was made.
-	began    time.Time
-	nextRead time.Time
-	failures int
+	// seedsEmpty says that no seed knows anything.
+	seedsEmpty bool
+	rank       int
+	// readOpen says that a call to the store is open.
+	readOpen bool
+	// readStartedAt is when the last call to the store was made.
+	readStartedAt time.Time
+	nextReadAt    time.Time
+	failures      int
 	// relist says that a watch would not do: what is known has a gap.
 	relist bool
-	// listNext says that a listing is likely to bring less than a watch would: a watch
+	// preferList says that a listing is likely to bring less than a watch would: a watch
 	// brings every version of a document, a listing the newest.
-	listNext    bool
-	actingUntil time.Time
-	confirmed   time.Time
-	// staleAt is when a stale listing told what is known, zero when none did.
-	staleAt time.Time
+	preferList           bool
+	temporaryReaderUntil time.Time
+	confirmedAt          time.Time
+	// staleListedAt is when a stale listing told what is known, zero when none did.
+	staleListedAt time.Time
 	// reachedAt is when the position known now was reached; disproved is a position that
 	// the store did not have at a time when a peer claimed it, zero for none.
 	reachedAt time.Time
 	disproved catalog.Position
 	// contradictions is how often the store has said since that it is not there yet.
 	contradictions int
-	// disbelieved is how many claims of peers were not followed.
-	disbelieved uint64
-	// vms is how many VMs live, this one included.
-	vms int
-
-	pull      *Pull
-	pullSince time.Time
-	// asked is what the peer claimed when the open pull was made.
-	asked    lead
-	lastPull uint64
-	lead     lead
-	out      []Action
+	// rejectedClaims is how many claims of peers were not followed.
+	rejectedClaims uint64
+	// fleetSize is how many VMs live, this one included.
+	fleetSize int
+
+	pull          *Pull
+	pullStartedAt time.Time
+	// pulledClaim is what the peer claimed when the open pull was made.
+	pulledClaim claim
+	lastPullID  uint64
+	lead        claim
+	actions     []Action
 }
 
 // New is a follower that knows nothing.
 func New(now time.Time, opts Options) *Follower {
 	return &Follower{
-		opts:     opts,
-		state:    catalog.New(now, opts.Decoder),
-		started:  now,
-		lastTick: now,
-		relist:   true,
-		vms:      1,
+		opts:      opts,
+		state:     catalog.New(now, opts.Decoder),
+		started:   now,
+		lastTick:  now,
+		relist:    true,
+		fleetSize: 1,
 	}
 }
 
@@ -164,26 +164,26 @@
 func (f *Follower) State() *catalog.State { return f.state }
 
 // Confirmed is when the store last confirmed what is known, here or at a peer.
-func (f *Follower) Confirmed() time.Time { return f.confirmed }
+func (f *Follower) Confirmed() time.Time { return f.confirmedAt }
 
 // Lead is the furthest position that a peer claims, zero when none is ahead.
 func (f *Follower) Lead() catalog.Position {
 	if !f.behindLead() {
 		return catalog.Position{}
 	}
-	return f.lead.at
+	return f.lead.position
 }
 
 // behindLead tells whether a peer is ahead.
-func (f *Follower) behindLead() bool { return f.state.Position().Before(f.lead.at) }
+func (f *Follower) behindLead() bool { return f.state.Position().Before(f.lead.position) }
 
 // Disbelieved is how many claims of peers were not followed, as the store had said that it
 // has no such position.
-func (f *Follower) Disbelieved() uint64 { return f.disbelieved }
+func (f *Follower) Disbelieved() uint64 { return f.rejectedClaims }
 
 // Reader tells whether this VM is to read the store.
 func (f *Follower) Reader(now time.Time) bool {
-	return f.Elected(now) || now.Before(f.actingUntil)
+	return f.Elected(now) || now.Before(f.temporaryReaderUntil)
 }
 
 // Elected tells whether it is this VM's turn to read for the others; one that reads
@@ -191,7 +191,7 @@
 // its turn only if the others know it from the start: as long as it knows nobody, each
 // VM of a fleet that starts would be the first.
 func (f *Follower) Elected(now time.Time) bool {
-	return f.rank == 0 && (f.opts.Seed || now.Sub(f.started) >= settleElected)
+	return f.rank == 0 && (f.opts.Seed || now.Sub(f.started) >= electionMinAge)
 }
 
 // SetPeers tells which VMs live, this one left out. Two VMs read the store: the
@@ -199,50 +199,50 @@
 // of a region leaves a reader.
 func (f *Follower) SetPeers(peers []Peer) {
 	all := append([]Peer{{VM: f.opts.VM, Region: f.opts.Place.Region}}, peers...)
-	slices.SortFunc(all, func(a, b Peer) int { return cmp.Compare(weight(b), weight(a)) })
+	slices.SortFunc(all, func(a, b Peer) int { return cmp.Compare(readerWeight(b), readerWeight(a)) })
 	first := all[0]
 	second := slices.IndexFunc(all, func(p Peer) bool { return p.Region != first.Region })
 	f.rank = slices.IndexFunc(all, func(p Peer) bool { return p.VM == f.opts.VM })
 	if f.rank == second {
 		f.rank = 0
 	}
-	f.vms = len(all)
+	f.fleetSize = len(all)
 }
 
 // SetBound changes the time within which a change has to be in force.
 func (f *Follower) SetBound(bound time.Duration) { f.opts.Bound = bound }
 
-// weight orders VMs as readers, alike on every VM.
-func weight(p Peer) uint64 { return rendezvous.Mix(xxhash.Sum64String(p.VM)) }
+// readerWeight orders VMs as readers, alike on every VM.
+func readerWeight(p Peer) uint64 { return rendezvous.Mix(xxhash.Sum64String(p.VM)) }
 
 // Tick lets time pass; it is to come several times in rankStep.
 func (f *Follower) Tick(now time.Time) []Action {
-	f.out = nil
+	f.actions = nil
 	if pause.Gap(f.lastTick, now) >= pauseGap {
 		f.relist = true
-		f.confirmed = time.Time{}
-		f.nextRead = now
+		f.confirmedAt = time.Time{}
+		f.nextReadAt = now
 	}
 	f.lastTick = now
 	if f.state.Tick(now) {
 		f.emit(Changed{})
 	}
-	f.advancePull(now)
-	f.advanceRead(now)
-	return f.out
+	f.maybePull(now)
+	f.maybeRead(now)
+	return f.actions
 }
 
 // Alone tells that the seeds were asked and none knows anything: no peer's word
 // is waited for any longer.
 func (f *Follower) Alone(now time.Time) []Action {
-	f.out = nil
-	f.alone = true
-	f.advanceRead(now)
-	return f.out
+	f.actions = nil
+	f.seedsEmpty = true
+	f.maybeRead(now)
+	return f.actions
 }
 
-func (f *Follower) emit(a Action) { f.out = append(f.out, a) }
+func (f *Follower) emit(a Action) { f.actions = append(f.actions, a) }
 
-func (f *Follower) share(s float64) time.Duration {
+func (f *Follower) ofBound(s float64) time.Duration {
 	return time.Duration(s * float64(f.opts.Bound))
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -16,22 +16,22 @@
 
 var start = time.Unix(1000, 0)
 
-// plain decodes every item as an upstream of one service.
-type plain struct{}
+// testDecoder decodes every item as an upstream of one service.
+type testDecoder struct{}
 
-func (plain) Kind(string) catalog.Kind { return catalog.Registration }
+func (testDecoder) Kind(string) catalog.Kind { return catalog.Registration }
 
-func (plain) Evacuated(string) string { return "" }
+func (testDecoder) Evacuated(string) string { return "" }
 
-func (plain) Config(catalog.Item) (*routing.Config, error) { return &routing.Config{}, nil }
+func (testDecoder) Config(catalog.Item) (*routing.Config, error) { return &routing.Config{}, nil }
 
-func (plain) Upstream(it catalog.Item) (catalog.Upstream, error) {
+func (testDecoder) Upstream(it catalog.Item) (catalog.Upstream, error) {
 	return catalog.Upstream{ID: it.Key, Service: "s"}, nil
 }
 
 func newFollower(now time.Time, name, region string, first bool) *Follower {
 	return New(now, Options{
-		VM: name, Place: locality.Place{Region: region}, Bound: bound, FirstStart: first, Decoder: plain{},
+		VM: name, Place: locality.Place{Region: region}, Bound: bound, FirstStart: first, Decoder: testDecoder{},
 		Random: rand.New(rand.NewPCG(1, uint64(len(name)))),
 	})
 }
@@ -43,8 +43,8 @@
 // at is a position in the only era of a store that tells none.
 func at(revision uint64) catalog.Position { return catalog.Position{Revision: revision} }
 
-// names gives the actions in short.
-func names(actions []Action) string {
+// describeActions gives the actions in short.
+func describeActions(actions []Action) string {
 	var out []string
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -70,8 +70,8 @@
 func reader() (*Follower, time.Time) {
 	f := newFollower(start, "a", "r", false)
 	f.opts.Seed = true
-	now := start.Add(hearFirst)
-	f.Tick(start.Add(hearFirst / 2))
+	now := start.Add(peerAnswerWait)
+	f.Tick(start.Add(peerAnswerWait / 2))
 	f.Tick(now)
 	f.Listed(now, at(10), []catalog.Item{put("u1", 5)})
 	return f, now
@@ -79,7 +79,7 @@
 
 // Each row is one way in which a read of the store goes wrong, and what the
 // reader does next.
-func TestReadsThatGoWrong(t *testing.T) {
+func TestReadOutcomes(t *testing.T) {
 	soon := 500 * time.Millisecond
 	for _, c := range []struct {
 		name  string
@@ -116,16 +116,16 @@
 	} {
 		f, now := reader()
 		now = now.Add(bound / 4)
-		if got := names(f.Tick(now)); got != "watch>10" {
+		if got := describeActions(f.Tick(now)); got != "watch>10" {
 			t.Fatalf("%s: begins with %q", c.name, got)
 		}
-		if got := names(c.event(f, now)); got != c.want {
+		if got := describeActions(c.event(f, now)); got != c.want {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
 		}
 	}
 }
 
-func TestCallsAreSpaced(t *testing.T) {
+func TestStoreCallsAreSpaced(t *testing.T) {
 	f, now := reader()
 	calls := 0
 	for end := now.Add(10 * time.Second); now.Before(end); now = now.Add(10 * time.Millisecond) {
@@ -137,35 +137,35 @@
 			}
 		}
 	}
-	if most := int(10/(spacingShare*bound.Seconds())) + 2; calls > most {
+	if most := int(10/(readSpacingShare*bound.Seconds())) + 2; calls > most {
 		t.Errorf("%d calls in 10 s of steady changes, want %d at most", calls, most)
 	}
 }
 
-func TestAVMThatIsBehindAsksThePeerThatIsAhead(t *testing.T) {
+func TestVMBehindPullsFromPeerAhead(t *testing.T) {
 	f := newFollower(start, "a", "r", false)
 	f.SetPeers([]Peer{{VM: "b", Region: "r"}, {VM: "c", Region: "s"}})
 	f.rank = 1
 	far, near := Peer{VM: "c", Region: "s", Address: "far"}, Peer{VM: "b", Region: "r", Address: "near"}
-	if got := names(f.Heard(start, far, at(20), 0)); got != "" {
+	if got := describeActions(f.Heard(start, far, at(20), 0)); got != "" {
 		t.Errorf("%q at once from another region", got)
 	}
-	if got := names(f.Heard(start, near, at(20), 0)); got != "pull>0:near" {
+	if got := describeActions(f.Heard(start, near, at(20), 0)); got != "pull>0:near" {
 		t.Errorf("%q, want the peer of the own region", got)
 	}
-	if got := names(f.Pulled(start, 1, catalog.Page{At: at(20), Whole: true, Items: []catalog.Item{put("u1", 5)}})); got != "announce changed" {
+	if got := describeActions(f.Pulled(start, 1, catalog.Page{At: at(20), Whole: true, Items: []catalog.Item{put("u1", 5)}})); got != "announce changed" {
 		t.Errorf("after the pull: %q", got)
 	}
-	if got := names(f.Heard(start, far, at(21), 0)); got != "" {
+	if got := describeActions(f.Heard(start, far, at(21), 0)); got != "" {
 		t.Errorf("%q at once from another region", got)
 	}
-	if got := names(f.Tick(start.Add(farPatience))); got != "pull>20:far" {
+	if got := describeActions(f.Tick(start.Add(farPullDelay))); got != "pull>20:far" {
 		t.Errorf("%q after the patience", got)
 	}
-	if got := names(f.PullFailed(start.Add(farPatience+pullStall), 2)); got != "" {
+	if got := describeActions(f.PullFailed(start.Add(farPullDelay+pullStallTimeout), 2)); got != "" {
 		t.Errorf("%q when the peer does not answer: another one's word is waited for", got)
 	}
-	if got := names(f.Heard(start.Add(time.Second), near, at(21), 0)); got != "pull>20:near" {
+	if got := describeActions(f.Heard(start.Add(time.Second), near, at(21), 0)); got != "pull>20:near" {
 		t.Errorf("%q, want the next peer", got)
 	}
 }
@@ -175,16 +175,16 @@
 // Sequence: each listens for a peer that knows the configuration; none does.
 // Cause: that the seeds had answered and know nothing was not taken for an end of
 // the wait.
-func TestAProcessThatIsAloneReadsAtOnce(t *testing.T) {
+func TestProcessReadsAtOnceWhenSeedsAreEmpty(t *testing.T) {
 	f := newFollower(start, "a", "r", false)
-	if got := names(f.Tick(start)); got != "" {
+	if got := describeActions(f.Tick(start)); got != "" {
 		t.Errorf("%q at once", got)
 	}
-	if got := names(f.Alone(start.Add(20 * time.Millisecond))); got != "list" {
+	if got := describeActions(f.Alone(start.Add(20 * time.Millisecond))); got != "list" {
 		t.Errorf("%q when no seed knows anything", got)
 	}
 	first := newFollower(start, "a", "r", true)
-	if got := names(first.Alone(start.Add(20 * time.Millisecond))); got != "" {
+	if got := describeActions(first.Alone(start.Add(20 * time.Millisecond))); got != "" {
 		t.Errorf("%q when the whole system starts: one reads for all", got)
 	}
 }
@@ -192,7 +192,7 @@
 // Symptom: a VM asks one peer thousands of times a second.
 // Sequence: the peer claims a revision and gives pages that do not reach it.
 // Cause: each page was followed by the next question.
-func TestAPeerThatHasNotGotWhatItClaimsIsNotAskedWithoutEnd(t *testing.T) {
+func TestPeerBehindItsClaimIsNotPulledInALoop(t *testing.T) {
 	f, now := reader()
 	peer := Peer{VM: "b", Region: "r", Address: "b"}
 	actions := f.Heard(now, peer, at(99), 0)
