--- a/internal/follow/confirm_test.go
+++ b/internal/follow/confirm_test.go
@@ -7,36 +7,34 @@
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
 )
 
-// Symptom: in a storm of changes most VMs read the store at once whenever a few pulls
-// fail, though each holds a change that is a second old at most.
-// Sequence: a VM pulls what a peer had when it was asked; meanwhile the peer, or another
-// one, has announced the next change.
-// Cause: a VM took itself for confirmed only when it held the very revision announced
-// last, which it never does while changes come faster than pulls end.
-// Proved by the age of the confirmation beside the revision, which moves on.
+// Guards against most VMs reading the store at once during a burst of changes whenever a few
+// pulls fail, although each holds a change at most a second old. By the time a VM has pulled
+// the position that a peer announced, the next change has been announced, so a VM that is
+// confirmed only at the latest announced position never is. The test checks the age of the
+// confirmation while the revision advances.
 func TestVMThatKeepsUpIsConfirmed(t *testing.T) {
 	const (
 		round = 300 * time.Millisecond
 		hop   = 15 * time.Millisecond
 	)
 	f, now := reader()
-	giver := Peer{VM: "b", Region: "r", Address: "b"}
-	f.SetPeers([]Peer{giver})
+	peer := Peer{VM: "b", Region: "r", Address: "b"}
+	f.SetPeers([]Peer{peer})
 	f.rank = 1
 	revision := f.State().Revision()
 	f.Watched(now, at(revision), at(revision), nil)
-	asked := Pull{}
+	pending := Pull{}
 	for end := now.Add(4 * bound); now.Before(end); now = now.Add(round) {
-		ended := asked
+		ended := pending
 		revision++
-		actions := f.Heard(now, giver, at(revision), hop)
+		actions := f.Heard(now, peer, at(revision), hop)
 		if ended.ID > 0 {
 			page := catalog.Page{At: at(revision - 1), After: ended.After, Items: []catalog.Item{put("u1", revision-1)}}
 			actions = f.Pulled(now, ended.ID, page)
 		}
 		for _, a := range actions {
 			if p, ok := a.(Pull); ok {
-				asked = p
+				pending = p
 			}
 		}
 		if age := now.Sub(f.Confirmed()); ended.ID > 0 && age > 2*round {
@@ -45,10 +43,9 @@
 	}
 }
 
-// Symptom: a VM takes a store that is away for one that answers, and drops upstreams that
-// live.
-// Sequence: it has listed what may be stale, and hears of a peer that has done the same.
-// Cause: a claim without a confirmation was taken for an old confirmation.
+// Guards against treating an unreachable store as answering and dropping live upstreams: a VM
+// holds a stale listing, a peer with another stale listing announces the same position, and the
+// claim without a confirmation counts as an old confirmation.
 func TestUnconfirmedClaimConfirmsNothing(t *testing.T) {
 	f := newFollower(start, "a", "r", false)
 	f.ListedStale(start, at(10), []catalog.Item{put("u1", 5)})
@@ -60,6 +57,6 @@
 	}
 	f.Heard(start.Add(time.Second), Peer{VM: "b", Region: "r", Address: "b"}, at(12), Unconfirmed)
 	if f.Lead() != at(12) {
-		t.Errorf("the lead is %v: what a peer has may be asked for", f.Lead())
+		t.Errorf("the lead is %v, want the unconfirmed claim", f.Lead())
 	}
 }
--- a/internal/follow/era_test.go
+++ b/internal/follow/era_test.go
@@ -7,8 +7,8 @@
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
 )
 
-// Guards against a reader that joins changes of a later era on to what it knew in the former
-// one, or puts off the listing that it needs.
+// Guards against a reader that applies changes of a later era to its state of the previous one,
+// or delays the listing that it needs.
 func TestWatchAnsweredInLaterEraTriggersListing(t *testing.T) {
 	f, now := reader()
 	now = now.Add(bound / 4)
@@ -23,8 +23,8 @@
 	}
 }
 
-// Guards against claims of a later era that are not followed, as a peer made up a revision in
-// the former one.
+// Guards against ignoring claims of a later era because a peer made up a revision in the
+// previous one.
 func TestDisproofDoesNotCarryOverToLaterEra(t *testing.T) {
 	f, now := readerWithForgedState(t)
 	f.readStartedAt = now.Add(time.Second)
@@ -35,6 +35,6 @@
 	claim := catalog.Position{Era: 1, Revision: 13}
 	f.Heard(now, Peer{VM: "b", Region: "r", Address: "b"}, claim, time.Millisecond)
 	if f.Lead() != claim || f.Disbelieved() != 0 {
-		t.Errorf("the lead is %v, %d claims disbelieved", f.Lead(), f.Disbelieved())
+		t.Errorf("the lead is %v, %d claims ignored", f.Lead(), f.Disbelieved())
 	}
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,13 +1,12 @@
-// Package follow decides how one VM keeps up with the store: whether it reads the
-// store itself or learns from peers, when, and whom it asks. It is pure: events
-// go in with the time, actions come out, and the catalog.State that it holds
-// moves on.
+// Package follow keeps one VM's catalog.State up to date. It decides whether the VM reads the
+// store itself or pulls from peers, when, and from which peer. It performs no I/O: events are
+// passed in with the time, and it returns actions for the caller to carry out.
 //
-// Reads of the store are limited and priced for all VMs together, so few VMs of
-// each region read and the others follow them. Each datagram between VMs carries
-// the sender's position and the time since the store confirmed it. A VM that is
-// behind asks the peer that is ahead; a VM that has heard of no confirmation for
-// too long reads for itself.
+// Reads of the store are limited and paid for across all VMs, so only two VMs, in different
+// regions, are elected to read it and the others follow them. Each datagram between VMs carries
+// the sender's position and the time since the store last confirmed it. A VM that is behind
+// pulls from a peer that is ahead. A VM that has received no confirmation for too long reads
+// the store itself.
 package follow
 
 import (
@@ -25,12 +24,12 @@
 )
 
 const (
-	// pauseGap is a gap between two ticks that shows that the process stood
-	// still: what it knows may be out of date.
+	// pauseGap is the gap between two ticks from which the process is taken to have been
+	// suspended, so that its state may be out of date.
 	pauseGap = time.Second
 )
 
-// Peer is another VM that can be asked.
+// Peer is another VM that can be pulled from.
 type Peer struct {
 	VM         string
 	Region     string
@@ -38,62 +37,62 @@
 	Address    string
 }
 
-// Options is what a Follower needs.
+// Options configures a Follower.
 type Options struct {
 	VM    string
 	Place locality.Place
-	// Bound is the time within which a change has to be in force.
+	// Bound is the time within which a change must be in force.
 	Bound time.Duration
-	// FirstStart says that the whole system starts now, so that no peer knows
-	// anything yet.
+	// FirstStart is set when the whole system starts for the first time, so that no peer has
+	// any state yet.
 	FirstStart bool
-	// Seed says that the other VMs know this one's address from the start.
+	// Seed is set when the other VMs are configured with this VM's address.
 	Seed    bool
 	Decoder catalog.Decoder
 	Random  *rand.Rand
 }
 
-// Action is something the driver must do.
+// Action is an operation for the caller to carry out.
 type Action interface{ action() }
 
-// List reads everything from the store. It ends with Listed, with ListedStale or with
-// ReadFailed.
+// List reads everything from the store. The caller reports the result with Listed, ListedStale
+// or ReadFailed.
 type List struct {
-	// Stale says that an answer that is seconds old will do; it costs the store less.
+	// Stale permits an answer that is seconds old, which is cheaper for the store.
 	Stale bool
 }
 
-// Watch waits at the store for changes after a position. It ends with Watched or
-// ReadFailed.
+// Watch waits at the store for changes after a position. The caller reports the result with
+// Watched or ReadFailed.
 type Watch struct {
 	After catalog.Position
 	Wait  time.Duration
 }
 
-// Pull asks a peer for what it knows after a position. It ends with Pulled or
-// PullFailed.
+// Pull asks a peer for its changes after a position. The caller reports the result with Pulled
+// or PullFailed.
 type Pull struct {
 	ID      uint64
 	Address string
 	After   catalog.Position
-	// Stall gives the pull up when nothing has come of it for so long, Timeout however
-	// much has.
+	// Stall ends the pull when no data has arrived for that long. Timeout limits the whole
+	// pull.
 	Stall   time.Duration
 	Timeout time.Duration
 }
 
-// Announce tells peers of the position and of its confirmation.
+// Announce sends peers the current position and the age of its confirmation.
 type Announce struct {
-	// Wide says that this VM had it from the store: some peers of every region
-	// are to be told, who tell the others.
+	// Wide is set when the confirmation comes from the store. It is then sent to some peers of
+	// every region, which forward it.
 	Wide bool
 }
 
-// Changed says that the catalog's view has changed.
+// Changed reports that the catalog's view has changed.
 type Changed struct{}
 
-// Disproved says that the store never came to such a position: what was known came from a
-// peer that made it up, and is discarded.
+// Disproved reports that the store never reached position At. The state came from a peer that
+// made it up, and has been discarded.
 type Disproved struct{ At catalog.Position }
 
 func (List) action()      {}
@@ -103,52 +102,57 @@
 func (Changed) action()   {}
 func (Disproved) action() {}
 
-// Follower is one VM's reading. It is not safe for concurrent use.
+// Follower decides what one VM reads, and when. It is not safe for concurrent use.
 type Follower struct {
 	opts  Options
 	state *catalog.State
 
 	started  time.Time
 	lastTick time.Time
-	// seedsEmpty says that no seed knows anything.
+	// seedsEmpty is set when no seed has any state.
 	seedsEmpty bool
-	rank       int
-	// readOpen says that a call to the store is open.
+	// rank is this VM's place in the election of readers, 0 for an elected one.
+	rank int
+	// readOpen is set while a call to the store is open.
 	readOpen bool
-	// readStartedAt is when the last call to the store was made.
+	// readStartedAt is when the last call to the store started.
 	readStartedAt time.Time
 	nextReadAt    time.Time
 	failures      int
-	// relist says that a watch would not do: what is known has a gap.
+	// relist is set when the state is empty or may have a gap, which a watch would not fill.
 	relist bool
-	// preferList says that a listing is likely to bring less than a watch would: a watch
-	// brings every version of a document, a listing the newest.
-	preferList           bool
+	// preferList is set when a listing is likely to transfer less than a watch: a watch returns
+	// every version of a document, a listing only the newest.
+	preferList bool
+	// temporaryReaderUntil is when a VM that is not elected stops reading the store.
 	temporaryReaderUntil time.Time
 	confirmedAt          time.Time
-	// staleListedAt is when a stale listing told what is known, zero when none did.
+	// staleListedAt is when a stale listing was last received, zero if never.
 	staleListedAt time.Time
-	// reachedAt is when the position known now was reached; disproved is a position that
-	// the store did not have at a time when a peer claimed it, zero for none.
+	// reachedAt is when the current position was reached. disproved is a position claimed by a
+	// peer that the store did not have, zero if none.
 	reachedAt time.Time
 	disproved catalog.Position
-	// contradictions is how often the store has said since that it is not there yet.
+	// contradictions counts the store's answers since reachedAt that are below the current
+	// position.
 	contradictions int
-	// rejectedClaims is how many claims of peers were not followed.
+	// rejectedClaims counts the claims of peers that were ignored.
 	rejectedClaims uint64
-	// fleetSize is how many VMs live, this one included.
+	// fleetSize is the number of live VMs, including this one.
 	fleetSize int
 
 	pull          *Pull
 	pullStartedAt time.Time
-	// pulledClaim is what the peer claimed when the open pull was made.
+	// pulledClaim is the peer's claim that the last pull follows.
 	pulledClaim claim
 	lastPullID  uint64
-	lead        claim
-	actions     []Action
+	// lead is the furthest claim of any peer.
+	lead claim
+	// actions collects the actions of the current event.
+	actions []Action
 }
 
-// New is a follower that knows nothing.
+// New returns a Follower with an empty state.
 func New(now time.Time, opts Options) *Follower {
 	return &Follower{
 		opts:      opts,
@@ -160,13 +164,14 @@
 	}
 }
 
-// State is what is known.
+// State returns the VM's catalog state.
 func (f *Follower) State() *catalog.State { return f.state }
 
-// Confirmed is when the store last confirmed what is known, here or at a peer.
+// Confirmed returns when the store last confirmed the current position, to this VM or to a
+// peer.
 func (f *Follower) Confirmed() time.Time { return f.confirmedAt }
 
-// Lead is the furthest position that a peer claims, zero when none is ahead.
+// Lead returns the furthest position claimed by a peer, zero if no peer is ahead.
 func (f *Follower) Lead() catalog.Position {
 	if !f.behindLead() {
 		return catalog.Position{}
@@ -174,29 +179,29 @@
 	return f.lead.position
 }
 
-// behindLead tells whether a peer is ahead.
+// behindLead reports whether a peer is ahead.
 func (f *Follower) behindLead() bool { return f.state.Position().Before(f.lead.position) }
 
-// Disbelieved is how many claims of peers were not followed, as the store had said that it
-// has no such position.
+// Disbelieved returns how many claims of peers were ignored because the store does not have
+// their position.
 func (f *Follower) Disbelieved() uint64 { return f.rejectedClaims }
 
-// Reader tells whether this VM is to read the store.
+// Reader reports whether this VM reads the store.
 func (f *Follower) Reader(now time.Time) bool {
 	return f.Elected(now) || now.Before(f.temporaryReaderUntil)
 }
 
-// Elected tells whether it is this VM's turn to read for the others; one that reads
-// without it has heard of no confirmation for too long. A VM that has just started takes
-// its turn only if the others know it from the start: as long as it knows nobody, each
-// VM of a fleet that starts would be the first.
+// Elected reports whether this VM is one of the readers for the fleet. A VM that reads without
+// being elected has received no confirmation for too long. A VM that has just started is
+// elected only if it is a seed: until they discover each other, all VMs of a starting fleet
+// would rank first.
 func (f *Follower) Elected(now time.Time) bool {
 	return f.rank == 0 && (f.opts.Seed || now.Sub(f.started) >= electionMinAge)
 }
 
-// SetPeers tells which VMs live, this one left out. Two VMs read the store: the
-// first of all by rendezvous, and the first outside its region, so that the loss
-// of a region leaves a reader.
+// SetPeers sets the live VMs other than this one. Two VMs are elected to read the store: the
+// first in rendezvous order, and the first outside its region, so that one reader survives the
+// loss of a region.
 func (f *Follower) SetPeers(peers []Peer) {
 	all := append([]Peer{{VM: f.opts.VM, Region: f.opts.Place.Region}}, peers...)
 	slices.SortFunc(all, func(a, b Peer) int { return cmp.Compare(readerWeight(b), readerWeight(a)) })
@@ -209,13 +214,13 @@
 	f.fleetSize = len(all)
 }
 
-// SetBound changes the time within which a change has to be in force.
+// SetBound sets the time within which a change must be in force.
 func (f *Follower) SetBound(bound time.Duration) { f.opts.Bound = bound }
 
-// readerWeight orders VMs as readers, alike on every VM.
+// readerWeight orders the VMs as candidate readers, identically on every VM.
 func readerWeight(p Peer) uint64 { return rendezvous.Mix(xxhash.Sum64String(p.VM)) }
 
-// Tick lets time pass; it is to come several times in rankStep.
+// Tick handles the passage of time. Call it several times per rankStep.
 func (f *Follower) Tick(now time.Time) []Action {
 	f.actions = nil
 	if pause.Gap(f.lastTick, now) >= pauseGap {
@@ -232,8 +237,8 @@
 	return f.actions
 }
 
-// Alone tells that the seeds were asked and none knows anything: no peer's word
-// is waited for any longer.
+// Alone reports that the seeds were asked and none has any state, which ends the wait for a
+// peer's answer.
 func (f *Follower) Alone(now time.Time) []Action {
 	f.actions = nil
 	f.seedsEmpty = true
@@ -243,6 +248,7 @@
 
 func (f *Follower) emit(a Action) { f.actions = append(f.actions, a) }
 
+// ofBound returns a fraction of the bound.
 func (f *Follower) ofBound(s float64) time.Duration {
 	return time.Duration(s * float64(f.opts.Bound))
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -40,10 +40,10 @@
 	return catalog.Item{Key: key, Value: []byte("x"), Revision: revision}
 }
 
-// at is a position in the only era of a store that tells none.
+// at returns a position in era 0, for a store that reports no eras.
 func at(revision uint64) catalog.Position { return catalog.Position{Revision: revision} }
 
-// describeActions gives the actions in short.
+// describeActions formats actions briefly.
 func describeActions(actions []Action) string {
 	var out []string
 	for _, a := range actions {
@@ -65,8 +65,8 @@
 	return strings.Join(out, " ")
 }
 
-// reader is a lone follower that has listed the store at revision 10. It is one that the
-// others know from the start: others wait until they know the fleet.
+// reader returns a follower without peers that has listed the store at revision 10. It is a
+// seed, because other VMs are not elected until they know the fleet.
 func reader() (*Follower, time.Time) {
 	f := newFollower(start, "a", "r", false)
 	f.opts.Seed = true
@@ -77,8 +77,7 @@
 	return f, now
 }
 
-// Each row is one way in which a read of the store goes wrong, and what the
-// reader does next.
+// Each case is one outcome of a read of the store and the reader's next step.
 func TestReadOutcomes(t *testing.T) {
 	soon := 500 * time.Millisecond
 	for _, c := range []struct {
@@ -86,13 +85,13 @@
 		event func(f *Follower, now time.Time) []Action
 		want  string
 	}{
-		{"history lost: list at once",
+		{"history compacted: list at once",
 			func(f *Follower, now time.Time) []Action { return f.ReadFailed(now, true) }, "list"},
 		{"call failed: watch again after a pause",
 			func(f *Follower, now time.Time) []Action {
 				return append(f.ReadFailed(now, false), f.Tick(now.Add(soon))...)
 			}, "watch>10"},
-		{"changes come",
+		{"changes arrive",
 			func(f *Follower, now time.Time) []Action {
 				return append(f.Watched(now, at(10), at(12), []catalog.Item{put("u2", 12)}), f.Tick(now.Add(soon))...)
 			}, "announce changed watch>12"},
@@ -100,7 +99,7 @@
 			func(f *Follower, now time.Time) []Action {
 				return append(f.Watched(now, at(10), at(10), nil), f.Tick(now.Add(soon))...)
 			}, "announce watch>10"},
-		{"a revision that no change explains: list",
+		{"a revision that the changes do not account for: list",
 			func(f *Follower, now time.Time) []Action {
 				return append(f.Watched(now, at(10), at(13), []catalog.Item{put("u2", 12)}), f.Tick(now.Add(soon))...)
 			}, "changed list"},
@@ -108,7 +107,7 @@
 			func(f *Follower, now time.Time) []Action {
 				return append(f.Listed(now, at(9), nil), f.Tick(now.Add(soon))...)
 			}, "list"},
-		{"the process stood still: list",
+		{"the process was suspended: list",
 			func(f *Follower, now time.Time) []Action {
 				f.ReadFailed(now, false)
 				return f.Tick(now.Add(pauseGap + time.Second))
@@ -117,7 +116,7 @@
 		f, now := reader()
 		now = now.Add(bound / 4)
 		if got := describeActions(f.Tick(now)); got != "watch>10" {
-			t.Fatalf("%s: begins with %q", c.name, got)
+			t.Fatalf("%s: starts with %q", c.name, got)
 		}
 		if got := describeActions(c.event(f, now)); got != c.want {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
@@ -138,7 +137,7 @@
 		}
 	}
 	if most := int(10/(readSpacingShare*bound.Seconds())) + 2; calls > most {
-		t.Errorf("%d calls in 10 s of steady changes, want %d at most", calls, most)
+		t.Errorf("%d calls in 10 s of steady changes, want at most %d", calls, most)
 	}
 }
 
@@ -148,65 +147,62 @@
 	f.rank = 1
 	far, near := Peer{VM: "c", Region: "s", Address: "far"}, Peer{VM: "b", Region: "r", Address: "near"}
 	if got := describeActions(f.Heard(start, far, at(20), 0)); got != "" {
-		t.Errorf("%q at once from another region", got)
+		t.Errorf("%q at once for a peer of another region", got)
 	}
 	if got := describeActions(f.Heard(start, near, at(20), 0)); got != "pull>0:near" {
-		t.Errorf("%q, want the peer of the own region", got)
+		t.Errorf("%q, want a pull from the peer of the same region", got)
 	}
 	if got := describeActions(f.Pulled(start, 1, catalog.Page{At: at(20), Whole: true, Items: []catalog.Item{put("u1", 5)}})); got != "announce changed" {
 		t.Errorf("after the pull: %q", got)
 	}
 	if got := describeActions(f.Heard(start, far, at(21), 0)); got != "" {
-		t.Errorf("%q at once from another region", got)
+		t.Errorf("%q at once for a peer of another region", got)
 	}
 	if got := describeActions(f.Tick(start.Add(farPullDelay))); got != "pull>20:far" {
-		t.Errorf("%q after the patience", got)
+		t.Errorf("%q after farPullDelay", got)
 	}
 	if got := describeActions(f.PullFailed(start.Add(farPullDelay+pullStallTimeout), 2)); got != "" {
-		t.Errorf("%q when the peer does not answer: another one's word is waited for", got)
+		t.Errorf("%q after a failed pull, want a wait for the next announcement", got)
 	}
 	if got := describeActions(f.Heard(start.Add(time.Second), near, at(21), 0)); got != "pull>20:near" {
-		t.Errorf("%q, want the next peer", got)
+		t.Errorf("%q, want a pull from the next peer", got)
 	}
 }
 
-// Symptom: after the loss of all processes nobody is served for longer than the
-// processes take to start.
-// Sequence: each listens for a peer that knows the configuration; none does.
-// Cause: that the seeds had answered and know nothing was not taken for an end of
-// the wait.
+// Guards against a delay beyond the start-up time after all processes were lost: each process
+// waits for a peer that has the configuration and none has, because the seeds' answer that they
+// have no state does not end the wait.
 func TestProcessReadsAtOnceWhenSeedsAreEmpty(t *testing.T) {
 	f := newFollower(start, "a", "r", false)
 	if got := describeActions(f.Tick(start)); got != "" {
 		t.Errorf("%q at once", got)
 	}
 	if got := describeActions(f.Alone(start.Add(20 * time.Millisecond))); got != "list" {
-		t.Errorf("%q when no seed knows anything", got)
+		t.Errorf("%q when no seed has any state", got)
 	}
 	first := newFollower(start, "a", "r", true)
 	if got := describeActions(first.Alone(start.Add(20 * time.Millisecond))); got != "" {
-		t.Errorf("%q when the whole system starts: one reads for all", got)
+		t.Errorf("%q on the first start of the whole system, when one VM reads for all", got)
 	}
 }
 
-// Symptom: a VM asks one peer thousands of times a second.
-// Sequence: the peer claims a revision and gives pages that do not reach it.
-// Cause: each page was followed by the next question.
+// Guards against pulling from one peer thousands of times a second: the peer claims a revision,
+// its pages do not reach it, and each page is followed by another pull.
 func TestPeerBehindItsClaimIsNotPulledInALoop(t *testing.T) {
 	f, now := reader()
 	peer := Peer{VM: "b", Region: "r", Address: "b"}
 	actions := f.Heard(now, peer, at(99), 0)
 	for range 3 {
-		asked := false
+		pulled := false
 		for _, a := range actions {
 			if p, ok := a.(Pull); ok {
-				asked = true
+				pulled = true
 				actions = f.Pulled(now, p.ID, catalog.Page{At: at(10), After: at(10)})
 			}
 		}
-		if !asked {
+		if !pulled {
 			return
 		}
 	}
-	t.Error("asked again after each page")
+	t.Error("another pull follows each page")
 }
--- a/internal/follow/forged_test.go
+++ b/internal/follow/forged_test.go
@@ -9,7 +9,7 @@
 
 const forgedRevision = 1_000_000
 
-// readerWithForgedState is a reader that has taken in a forged page.
+// readerWithForgedState returns a reader that has applied a forged page.
 func readerWithForgedState(t *testing.T) (*Follower, time.Time) {
 	t.Helper()
 	f, now := reader()
@@ -25,10 +25,9 @@
 	return f, now
 }
 
-// Symptom: changes no longer come into force on some VMs, which list the store without end.
-// Sequence: a peer gives a page of a revision far above the store's; the store then answers
-// with its own.
-// Cause: what is known was replaced by later revisions only, and the store's look old.
+// Guards against VMs that list the store without end while changes no longer come into force: a
+// peer sends a page with a revision far above the store's, and the store's own answers then
+// look old.
 func TestStoreOverridesForgedRevision(t *testing.T) {
 	f, now := readerWithForgedState(t)
 	f.readStartedAt = now.Add(time.Second)
@@ -45,15 +44,16 @@
 	now = now.Add(time.Second)
 	peer := Peer{VM: "b", Region: "r", Address: "b"}
 	if got := describeActions(f.Heard(now, peer, at(forgedRevision), time.Millisecond)); got != "" {
-		t.Errorf("the claim is believed again: %q", got)
+		t.Errorf("the disproved claim is followed again: %q", got)
 	}
 	f.Heard(now, peer, at(13), time.Millisecond)
 	if f.Lead() != at(13) {
-		t.Errorf("the lead is %v: a true claim is to be followed", f.Lead())
+		t.Errorf("the lead is %v, want the valid claim", f.Lead())
 	}
 }
 
-// A watch above a revision that does not exist hears nothing; its answer tells.
+// A watch above a revision that does not exist returns no changes; the position of its answer
+// reveals the forgery.
 func TestWatchRevealsForgedRevision(t *testing.T) {
 	f, now := readerWithForgedState(t)
 	f.readOpen = true
@@ -61,13 +61,12 @@
 		t.Errorf("watched: %q", got)
 	}
 	if got := describeActions(f.Tick(now.Add(time.Second))); got != "list" {
-		t.Errorf("then: %q", got)
+		t.Errorf("after the next tick: %q", got)
 	}
 }
 
-// Symptom: a VM discards what it knows and serves nobody.
-// Sequence: a listing is slow; meanwhile a peer brings a later revision.
-// Cause: an answer to an earlier question was taken for a proof.
+// Guards against a VM that discards its state and serves no requests: a peer supplies a later
+// revision during a slow listing, and the answer to the earlier call counts as a disproof.
 func TestSlowListingDisprovesNothing(t *testing.T) {
 	f, now := reader()
 	f.readStartedAt = now
--- a/internal/follow/pull.go
+++ b/internal/follow/pull.go
@@ -8,43 +8,43 @@
 )
 
 const (
-	// readerPullDelay is how long a reader leaves a peer's lead to its own watch,
-	// which is about to bring the change.
+	// readerPullDelay is how long a reader waits for its own watch, which is likely to deliver
+	// the change, before it pulls from a peer.
 	readerPullDelay = 150 * time.Millisecond
-	// farPullDelay is how long a VM that hears of a change from another region
-	// waits for a peer of its own to have it: a configuration of hundreds of
-	// kilobytes then crosses between regions a few times and not once a VM.
+	// farPullDelay is how long a VM waits for a peer of its own region before it pulls from
+	// another region. A configuration of hundreds of kilobytes then crosses between regions a
+	// few times rather than once per VM.
 	farPullDelay = 150 * time.Millisecond
-	// regionalPullDelay is the same for a peer of another data centre of the region. A
-	// process that starts in a running fleet, and knows nothing, does not wait it out.
+	// regionalPullDelay is the same wait for a peer in another data centre of the region. A
+	// process without state that starts in a running fleet skips it.
 	regionalPullDelay = 100 * time.Millisecond
-	// forwardShare is the part of the bound by which a confirmation must be newer than the
-	// one before to be passed on at once: half of what lies between two of the store's.
+	// forwardShare is the fraction of the bound by which a confirmation must be newer than the
+	// previous one to be forwarded at once: half the interval between two confirmations of the
+	// store.
 	forwardShare = watchWaitShare / 2
-	// pullStallTimeout gives up a peer of which nothing has come for so long: several round
-	// trips between regions. A page of which some is coming may take up to the bound:
-	// given up by the time it takes, one over a slow link is begun anew without end, and
-	// its VM stays at an old version.
+	// pullStallTimeout ends a pull that receives no data for several round trips between
+	// regions. A page that keeps arriving may take up to the bound. With a fixed time limit, a
+	// transfer over a slow link would restart for good and leave its VM at an old version.
 	pullStallTimeout = 600 * time.Millisecond
 )
 
-// claim is the furthest position that a peer claims.
+// claim is a position announced by a peer.
 type claim struct {
 	address  string
 	position catalog.Position
-	// distance is how far the peer is.
+	// distance is the distance to the peer.
 	distance locality.Distance
-	// firstHeardAt is when this VM first heard that it is behind.
-	firstHeardAt time.Time
-	// confirmedAt is when the store last confirmed the lead, zero when nobody says so.
+	// behindSince is when this VM first learnt that it is behind.
+	behindSince time.Time
+	// confirmedAt is when the store last confirmed the position, zero if unconfirmed.
 	confirmedAt time.Time
 }
 
-// Unconfirmed is the age of a confirmation that a peer does not tell of.
+// Unconfirmed is the age to pass to Heard when the peer reports no confirmation.
 const Unconfirmed time.Duration = -1
 
-// Heard takes in what a peer announces: its position and how long ago the store last
-// confirmedAt it.
+// Heard handles a peer's announcement of its position and of the time since the store last
+// confirmed it.
 func (f *Follower) Heard(now time.Time, peer Peer, at catalog.Position, age time.Duration) []Action {
 	f.actions = nil
 	confirmed := now.Add(-age)
@@ -62,6 +62,8 @@
 	return f.actions
 }
 
+// handleClaim applies a confirmation of the current position, or updates the lead by a claim
+// above it. A closer peer that is ahead replaces a more distant one.
 func (f *Follower) handleClaim(now time.Time, peer Peer, at catalog.Position, confirmed time.Time) {
 	distance := f.opts.Place.Within(peer.Region, peer.DataCentre)
 	if at == f.state.Position() {
@@ -69,7 +71,7 @@
 		return
 	}
 	if !f.behindLead() {
-		f.lead = claim{firstHeardAt: now, distance: locality.Far}
+		f.lead = claim{behindSince: now, distance: locality.Far}
 	}
 	if !at.Before(f.lead.position) && distance <= f.lead.distance || distance < f.lead.distance {
 		f.lead.position = at
@@ -80,7 +82,7 @@
 	f.maybePull(now)
 }
 
-// Pulled takes in a peer's page.
+// Pulled handles a page received from a peer.
 func (f *Follower) Pulled(now time.Time, id uint64, page catalog.Page) []Action {
 	f.actions = nil
 	if f.pull != nil && f.pull.ID == id {
@@ -101,8 +103,7 @@
 	}
 	f.confirmReachedClaims(now)
 	if applied && !moved && f.behindLead() {
-		// The peer has not got what it claims. Asked again at once, it would be
-		// asked without end.
+		// The peer's page falls short of its claim. Pulling again at once would loop.
 		f.lead = claim{}
 	}
 	if changed {
@@ -112,21 +113,21 @@
 	return f.actions
 }
 
-// PullFailed takes in that a peer gave nothing.
+// PullFailed handles a pull that returned nothing.
 func (f *Follower) PullFailed(now time.Time, id uint64) []Action {
 	f.actions = nil
 	if f.pull == nil || f.pull.ID != id {
 		return f.actions
 	}
 	f.pull = nil
-	// Another peer's next word sets a new lead.
+	// The next announcement of a peer sets a new lead.
 	f.lead = claim{}
 	return f.actions
 }
 
-// handleConfirmation takes in a peer's confirmation of what is known here. One that is new to
-// this VM and comes from elsewhere is passed on in the data centre: peers of which most
-// talk to their neighbours would hear of it too late, and read the store for themselves.
+// handleConfirmation handles a peer's confirmation of the current position. A new one from
+// outside the data centre is forwarded within it: peers that exchange datagrams mostly with
+// their neighbours would otherwise receive it too late and read the store themselves.
 func (f *Follower) handleConfirmation(now time.Time, distance locality.Distance, at time.Time) {
 	if at.IsZero() {
 		return
@@ -138,20 +139,20 @@
 	}
 }
 
-// confirmReachedClaims takes in the confirmations of what was asked for and of the furthest
-// claim, if these are reached. While changes come faster than pulls end the furthest
-// claim never is; by it alone, VMs that keep up take themselves for cut off, and all of
-// them read the store: 57 of 70 at once were seen.
+// confirmReachedClaims applies the confirmations of the pulled claim and of the furthest claim,
+// if their positions have been reached. While changes arrive faster than pulls complete, the
+// furthest claim is never reached. With that one alone, VMs that keep up would consider
+// themselves cut off and all read the store; 57 of 70 have done so at once.
 func (f *Follower) confirmReachedClaims(now time.Time) {
-	for _, claim := range []claim{f.pulledClaim, f.lead} {
-		if !f.state.Position().Before(claim.position) {
-			f.recordConfirmation(now, claim.confirmedAt)
+	for _, c := range []claim{f.pulledClaim, f.lead} {
+		if !f.state.Position().Before(c.position) {
+			f.recordConfirmation(now, c.confirmedAt)
 		}
 	}
 }
 
-// recordConfirmation takes in a confirmation that a peer had. It ends an outage here as
-// the store's own answer does, and after the changes it came with.
+// recordConfirmation applies a confirmation received from a peer. Like an answer of the store
+// itself it ends an outage, and it does so after the changes that it came with are applied.
 func (f *Follower) recordConfirmation(now, at time.Time) {
 	if at.After(f.confirmedAt) {
 		f.confirmedAt = at
@@ -159,7 +160,7 @@
 	}
 }
 
-// maybePull asks the peer that is ahead.
+// maybePull starts a pull from the peer that is ahead, if one is due.
 func (f *Follower) maybePull(now time.Time) {
 	if f.pull != nil {
 		if now.Sub(f.pullStartedAt) < f.pull.Timeout {
@@ -171,7 +172,7 @@
 	if !f.behindLead() {
 		return
 	}
-	if now.Sub(f.lead.firstHeardAt) < f.pullDelay() {
+	if now.Sub(f.lead.behindSince) < f.pullDelay() {
 		return
 	}
 	f.lastPullID++
@@ -181,10 +182,10 @@
 	f.emit(*f.pull)
 }
 
-// pullTimeout is the time limit of a whole pull.
+// pullTimeout returns the time limit of a whole pull.
 func (f *Follower) pullTimeout() time.Duration { return max(pullStallTimeout, f.opts.Bound) }
 
-// pullDelay is how long a peer's lead is left to others.
+// pullDelay returns how long to wait for a closer source before pulling from the leading peer.
 func (f *Follower) pullDelay() time.Duration {
 	if f.readOpen && !f.relist && !f.preferList && f.state.Revision() > 0 {
 		return readerPullDelay
--- a/internal/follow/read.go
+++ b/internal/follow/read.go
@@ -8,60 +8,60 @@
 )
 
 const (
-	// watchWaitShare is the part of the bound on changes that a watch waits. A watch
-	// may hang without a word; it is then noticed after its wait, and there is
-	// as much time left to read anew.
+	// watchWaitShare is the fraction of the bound that a watch waits. A watch that hangs
+	// silently is detected after its wait, which must leave enough time to read again.
 	watchWaitShare = 0.4
-	// readSpacingShare is the least time between two calls to the store, as a part
-	// of the bound: changes that come close together are read by one call.
+	// readSpacingShare is the minimum interval between two calls to the store, as a fraction of
+	// the bound. Changes in quick succession are read by one call.
 	readSpacingShare = 0.13
-	// burstRevisions is how many revisions between two listings show that changes still
-	// come so close together that a watch would bring several versions.
+	// burstRevisions is the number of revisions between two listings from which changes are
+	// still so frequent that a watch would return several versions of a document.
 	burstRevisions = 3
-	// unconfirmedShare is the part of the bound after which a VM that has heard of no
-	// confirmation reads for itself.
+	// unconfirmedShare is the fraction of the bound after which a VM without a confirmation
+	// reads the store itself.
 	unconfirmedShare = 0.65
-	// rankStep delays each further VM, so that not all of them begin to read when a
+	// rankStep is the additional delay per rank, so that not all VMs start to read when a
 	// reader is lost.
 	rankStep = 100 * time.Millisecond
-	// maxRankDelayShare is the part of the bound by which the last of many VMs is delayed: it
-	// has as much left for its own reading.
+	// maxRankDelayShare limits the delay of the last of many VMs, as a fraction of the bound,
+	// and leaves it the same time for its own read.
 	maxRankDelayShare = 0.13
-	// failedCallSpacing is the mean time between the calls, over all VMs, of those that read
-	// out of their turn and fail. While the store is away each would else call once a
-	// second: 295 VMs made 2,900 calls on a day with an outage of six seconds.
+	// failedCallSpacing is the mean interval, across all VMs, between failing calls of VMs that
+	// are not elected. Without it each would call once a second during an outage of the store:
+	// 295 VMs made 2,900 calls on a day with an outage of six seconds.
 	failedCallSpacing = 25 * time.Millisecond
-	// staleListingShare is the part of the bound for which what a stale listing told stands
-	// without a confirmation: it may be seconds old.
+	// staleListingShare is the fraction of the bound during which a stale listing needs no
+	// confirmation. It is short because the listing may already be seconds old.
 	staleListingShare = 0.35
-	// temporaryReaderPeriod is how long a VM that had to read for itself goes on reading.
+	// temporaryReaderPeriod is how long a VM that had to read the store itself continues to do
+	// so.
 	temporaryReaderPeriod = 5 * time.Second
-	// minRetryDelay and retryMost bound the pause after a read that failed.
+	// minRetryDelay and maxRetryDelay limit the backoff after a failed read.
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = time.Second
-	// peerAnswerWait is how long a process that starts alone listens for a peer, which
-	// costs the store no call; a peer answers within a round trip.
+	// peerAnswerWait is how long a starting process waits for a peer's answer before it reads.
+	// A peer answers within a round trip and costs the store no call.
 	peerAnswerWait = 350 * time.Millisecond
-	// disproofThreshold is how many answers of the store show that a position does not
-	// exist: one might come from a part of the store that lags.
+	// disproofThreshold is how many answers of the store prove that a position does not exist.
+	// One might come from a lagging replica of the store.
 	disproofThreshold = 2
-	// electionMinAge is how old a VM must be to know the others well enough to be
-	// elected among them.
+	// electionMinAge is how long a VM must have been running to know enough of its peers to be
+	// elected.
 	electionMinAge = 1200 * time.Millisecond
-	// firstStartSeedWait and settleOthers are the same for a start of the whole system,
-	// when no peer knows anything: the VMs named as seeds find each other first
-	// and read for the others.
+	// firstStartSeedWait and firstStartWait are the waits before the first read when the whole
+	// system starts and no peer has any state: the seeds find each other first and read for the
+	// other VMs.
 	firstStartSeedWait = 600 * time.Millisecond
 	firstStartWait     = 1500 * time.Millisecond
 )
 
-// Listed takes in a whole listing of the store.
+// Listed handles a complete listing of the store.
 func (f *Follower) Listed(now time.Time, at catalog.Position, items []catalog.Item) []Action {
 	f.actions = nil
 	f.readAnswered(now)
 	if at.Before(f.state.Position()) {
 		if !f.contradicted() {
-			// An answer from before what is known: to be read again.
+			// The answer predates the current position; read again.
 			f.relist = true
 			f.nextReadAt = now.Add(minRetryDelay)
 			return f.actions
@@ -78,9 +78,9 @@
 	return f.actions
 }
 
-// ListedStale takes in a listing that may be seconds old. It confirms nothing: what peers
-// know above it is asked of them, and readers confirm. Neither does it tell its era, which may
-// have ended since: it stands until anything is known of an era.
+// ListedStale handles a listing that may be seconds old. It confirms nothing: later changes are
+// pulled from peers, and the readers confirm. Nor is its era reliable, as it may have ended
+// since, so the state stays in era 0 until a position with an era is known.
 func (f *Follower) ListedStale(now time.Time, at catalog.Position, items []catalog.Item) []Action {
 	f.actions = nil
 	f.readAnswered(now)
@@ -101,7 +101,7 @@
 	return f.actions
 }
 
-// withoutEra is items as of no era.
+// withoutEra returns a copy of items in era 0.
 func withoutEra(items []catalog.Item) []catalog.Item {
 	out := slices.Clone(items)
 	for i := range out {
@@ -110,10 +110,10 @@
 	return out
 }
 
-// Watched takes in the answer of a watch. Its revision must be explained by its
-// changes: a store that has lost a change in between says nothing of it, and
-// what it tells later would join on to a gap. So would changes of another era, whose
-// revisions before the watch's are not those that are known.
+// Watched handles the answer of a watch. The changes must account for the answer's revision;
+// otherwise the store has lost a change in between without reporting it, and later changes
+// would follow a gap. Changes of another era cannot be applied either, because that era's
+// revisions before the watch's position differ from those of the state.
 func (f *Follower) Watched(now time.Time, after, at catalog.Position, changes []catalog.Item) []Action {
 	f.actions = nil
 	f.readAnswered(now)
@@ -140,8 +140,8 @@
 	return f.actions
 }
 
-// positionReached notes that another position is known now. One that the store itself has told may
-// stand where a peer's claim was disproved before.
+// positionReached records that the current position has changed. If the store itself has now
+// reached the disproved position or a later one, the disproof ends.
 func (f *Follower) positionReached(now time.Time) {
 	f.reachedAt = now
 	f.contradictions = 0
@@ -150,8 +150,9 @@
 	}
 }
 
-// contradicted tells whether the store has now said twice that there is no such position as
-// is known here, each time to a question that was asked after it was reached.
+// contradicted counts an answer of the store that is below the current position, if the call
+// started after the position was reached. It reports whether there have been enough, two, to
+// discard the state.
 func (f *Follower) contradicted() bool {
 	if f.readStartedAt.Before(f.reachedAt) {
 		return false
@@ -160,11 +161,11 @@
 	return f.contradictions >= disproofThreshold
 }
 
-// discardDisproved discards what is known: answers that the store gave to later questions are of
-// an earlier position. The store goes back only into a later era, so what is known was made
-// up by a peer.
-// Kept, it would stand for good: all that the store tells would look old, and one notices
-// a VM that lists the store without end, or a fleet in which no change comes into force.
+// discardDisproved discards the state because the store has answered later calls with an
+// earlier position. The store only moves backwards into a later era, so a peer must have made
+// up the position. A state that is not discarded would stay for good: all answers of the store
+// would look old, and VMs would list the store without end or changes would never come into
+// force.
 func (f *Follower) discardDisproved(now time.Time) {
 	f.disproved = f.state.Position()
 	f.emit(Disproved{f.disproved})
@@ -173,13 +174,13 @@
 	f.pull = nil
 }
 
-// plausible tells whether a peer may have come to a position. What the store did not have
-// in one era says nothing of the others.
+// plausible reports whether a peer may have reached a position. A disproof applies only to its
+// own era.
 func (f *Follower) plausible(at catalog.Position) bool {
 	return at.Era != f.disproved.Era || f.disproved.Revision == 0 || at.Before(f.disproved)
 }
 
-// supersededBytes is the size of the versions among some changes that later ones replace.
+// supersededBytes returns the size of the versions that later ones in the same changes replace.
 func supersededBytes(changes []catalog.Item) int {
 	newest := make(map[string]uint64, len(changes))
 	for _, it := range changes {
@@ -202,8 +203,8 @@
 	return last
 }
 
-// ReadFailed takes in that a read brought nothing. compacted says that the store
-// no longer has the history asked for.
+// ReadFailed handles a failed read. compacted is set if the store no longer has the requested
+// history.
 func (f *Follower) ReadFailed(now time.Time, compacted bool) []Action {
 	f.actions = nil
 	f.readOpen = false
@@ -224,15 +225,16 @@
 	return f.actions
 }
 
+// readAnswered closes a successful call to the store and schedules the next one.
 func (f *Follower) readAnswered(now time.Time) {
 	f.readOpen = false
 	f.failures = 0
 	f.nextReadAt = f.readStartedAt.Add(f.ofBound(readSpacingShare))
 }
 
-// storeConfirmed notes that what is known is what the store holds now, and says so: left
-// to the peers' turns alone, the word would take more of the bound in a large
-// fleet than the store's own wait, and VMs would read for themselves.
+// storeConfirmed records that the state matches the store and announces it at once. With
+// periodic announcements alone, spreading the confirmation through a large fleet would take
+// more of the bound than the store's own wait, and VMs would read the store themselves.
 func (f *Follower) storeConfirmed(now time.Time, changed bool) {
 	f.confirmedAt = now
 	f.state.StoreAnswered(now)
@@ -242,8 +244,8 @@
 	}
 }
 
-// maybeRead reads the store when it is this VM's turn. While a peer's answer
-// is on its way, it waits for that, but not for one that is slow.
+// maybeRead starts a read of the store if one is due. It waits for an open pull, but not for
+// one that is slow.
 func (f *Follower) maybeRead(now time.Time) {
 	answering := f.pull != nil && now.Sub(f.pullStartedAt) < pullStallTimeout
 	if f.readOpen || answering || now.Before(f.nextReadAt) || !f.shouldRead(now) {
@@ -258,13 +260,16 @@
 	f.emit(Watch{After: f.state.Position(), Wait: f.ofBound(watchWaitShare)})
 }
 
-// allowsStale tells whether a listing may be seconds old. It may for a process that knows
-// nothing and starts when all do: several hundred listings are cheap so, and the first
-// readers bring the rest a moment later. One that has brought nothing is not tried again.
+// allowsStale reports whether a listing may be seconds old. It may for a process without state
+// that starts together with the fleet: this keeps several hundred listings cheap, and the first
+// readers supply the rest a moment later. A stale listing that returned nothing is not
+// repeated.
 func (f *Follower) allowsStale(now time.Time) bool {
 	return f.state.Revision() == 0 && f.staleListedAt.IsZero() && !f.opts.FirstStart && !f.Elected(now)
 }
 
+// shouldRead reports whether this VM is to read the store now. A VM that is not elected becomes
+// a temporary reader when the confirmation is too old.
 func (f *Follower) shouldRead(now time.Time) bool {
 	if f.state.Revision() == 0 {
 		return now.Sub(f.started) >= f.initialWait()+f.initialRankDelay(now)
@@ -276,15 +281,14 @@
 		return false
 	}
 	if !now.Before(f.temporaryReaderUntil) {
-		// Of what came since the last confirmation the newest versions do.
+		// The newest versions since the last confirmation suffice.
 		f.preferList = true
 	}
 	f.temporaryReaderUntil = now.Add(temporaryReaderPeriod)
 	return true
 }
 
-// initialWait is how long a process that knows nothing leaves the reading to
-// others.
+// initialWait returns how long a process without state leaves reading to others.
 func (f *Follower) initialWait() time.Duration {
 	switch {
 	case f.seedsEmpty && !f.opts.FirstStart:
@@ -298,8 +302,8 @@
 	}
 }
 
-// initialRankDelay leaves the first reading to VMs of a lower rank, but not where it costs little:
-// callers may wait for it.
+// initialRankDelay delays the first read by rank so that one VM reads before the others. A
+// cheap stale listing is not delayed, because callers may be waiting.
 func (f *Follower) initialRankDelay(now time.Time) time.Duration {
 	if f.allowsStale(now) {
 		return 0
@@ -307,6 +311,7 @@
 	return f.rankDelay()
 }
 
+// rankDelay returns how much later than the first VM this one reads.
 func (f *Follower) rankDelay() time.Duration {
 	step := min(rankStep, f.ofBound(maxRankDelayShare)/time.Duration(f.fleetSize))
 	return time.Duration(f.rank) * step
