--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,7 +1,7 @@
-// Package replica chooses among the upstreams of a service by what each has
-// shown to this VM: the answer times by kind of request, the work it has open
-// here, the age of the oldest open request, and its recent failures. It is pure;
-// its caller holds the lock.
+// Package replica selects the upstream of a service that should answer a request soonest,
+// from what this VM has observed of each: answer times by kind of request, open sends, the
+// age of the oldest open send, and recent failures. It does no I/O and reads no clock; the
+// caller serialises access.
 package replica
 
 import (
@@ -15,138 +15,144 @@
 )
 
 const (
-	// slowHalfLife is the age at which what an upstream showed counts half: a
-	// fault of some seconds is forgotten a few seconds after it has passed.
-	slowHalfLife = time.Second
-	// maxWeight bounds how many observations are remembered: about what one
-	// upstream gets in its half-life.
-	maxWeight = 4.0
-	// priorWeight is the weight of the assumption that an upstream is like the
-	// others; it lets a slow one be tried again.
+	// slownessHalfLife is the half-life of an upstream's slowness: a fault of some seconds
+	// is forgotten a few seconds after it has passed.
+	slownessHalfLife = time.Second
+	// maxSlownessWeight caps the number of remembered observations: about as many as one
+	// upstream gets within the half-life.
+	maxSlownessWeight = 4.0
+	// priorWeight is the weight of the assumption that an upstream is as fast as the others.
+	// It lets a slow upstream be tried again.
 	priorWeight = 0.5
-	// faultHalfLife is the age at which a failure that is the upstream's own counts half.
-	faultHalfLife = 4 * time.Second
-	// faultShare is the weight of one more result in the share of such failures.
-	faultShare = 0.5
-	// refusalHalfLife is the age at which a refusal for want of room counts half: a slot gets
-	// free sooner than a fault passes.
+	// failureHalfLife is the half-life of the rate of the upstream's own failures.
+	failureHalfLife = 4 * time.Second
+	// failureAlpha is the weight of a new result in the moving average of failures.
+	failureAlpha = 0.5
+	// refusalHalfLife is the half-life of the rate of refusals for lack of capacity. It is
+	// shorter than failureHalfLife because a slot frees sooner than a fault passes.
 	refusalHalfLife = 2 * time.Second
-	// refusalShare is the weight of one more result in the share of such refusals.
-	refusalShare = 0.25
-	// downFirst and downMost bound how long an upstream that cannot be reached
-	// is passed over; the time doubles with each try.
-	downFirst = 250 * time.Millisecond
-	downMost  = 2 * time.Second
-	// lateFactor is how many times its usual time a request must have waited to
-	// count as late; while one such is open, the upstream counts as paused.
+	// refusalAlpha is the weight of a new result in the moving average of refusals.
+	refusalAlpha = 0.25
+	// minBackoff and maxBackoff bound how long an unreachable upstream is avoided; the
+	// time doubles with each failed try.
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 2 * time.Second
+	// lateFactor is the multiple of its expected time after which a send is late. An
+	// upstream counts as paused while it has a late open send.
 	lateFactor = 2.5
-	// lateMost bounds what one late answer says of an upstream. A pause that is
-	// over leaves the next answers fast, so one of it is not to outweigh what was
-	// seen before; a second one with no fast answer between them counts in full.
-	lateMost = 4.0
-	// pausedCost is the time added for an upstream that counts as paused: the
-	// usual stop of a garbage collector or a compaction.
-	pausedCost = 300 * time.Millisecond
-	// hedgeQuantile is the answer time at which a request counts as late. A
-	// tenth of the requests is then hedged, half of the usual budget of a fifth;
-	// pauses and slow upstreams need the rest.
+	// maxLateRatio caps the ratio of a single late answer. The answers after a pause are fast
+	// again, so that one late answer must not outweigh earlier observations. A second late
+	// answer with no fast one in between counts in full.
+	maxLateRatio = 4.0
+	// pausePenalty is the time added to the cost of a paused upstream: a usual pause of a
+	// garbage collector or a compaction.
+	pausePenalty = 300 * time.Millisecond
+	// hedgeQuantile is the quantile of answer times at which a request is hedged. It hedges
+	// a tenth of the requests, half of the usual budget of a fifth; the rest is for pauses
+	// and slow upstreams.
 	hedgeQuantile = 0.90
-	// spareMedians is how many times its usual time a hedge's answer is given
-	// before the objective: its connection may have to be opened, and it may be
-	// slow as well.
-	spareMedians = 2.0
-	// patience is how many times usual, a quarter of the objective, a hedge waits
-	// at most, so that the budget lasts for when upstreams fail.
-	patience = 1.4
-	// refresh is how long quantiles are kept before they are worked out anew.
-	refresh = 200 * time.Millisecond
-	// jitter spreads choices between equals.
-	jitter = 0.05
-	// enoughSeen is the weight of observations from which a tail is believed.
-	enoughSeen = 20
+	// hedgeReserve is how many medians are left for a hedge's own answer before the
+	// objective: the hedge may have to open a connection, and its upstream may be slow too.
+	hedgeReserve = 2.0
+	// maxDelayFactor bounds how far a hedge is delayed beyond the tail, as a multiple of the
+	// assumed answer time, which is a quarter of the objective. The delay saves budget for
+	// failures of upstreams.
+	maxDelayFactor = 1.4
+	// quantileTTL is how long computed quantiles are cached.
+	quantileTTL = 200 * time.Millisecond
+	// costJitter is the largest random relative increase of a cost. It spreads requests
+	// over equal upstreams.
+	costJitter = 0.05
+	// minTailWeight is the weight of observations needed before a tail quantile is used.
+	minTailWeight = 20
 )
 
-// farPrior is the time added to what is known of nearer upstreams while none at
-// the distance has answered: round trips inside a region and between regions.
-var farPrior = [locality.Distances]time.Duration{0, 2 * time.Millisecond, 25 * time.Millisecond}
+// distancePenalty is the round trip time added to the median of nearer upstreams while no
+// upstream at the distance has answered: within the data centre, within the region, between
+// regions.
+var distancePenalty = [locality.Distances]time.Duration{0, 2 * time.Millisecond, 25 * time.Millisecond}
 
-// kind is what is known of one kind of requests.
-type kind struct {
-	first time.Duration
-	far   [locality.Distances]distanceTimes
+// kindStats holds the answer times of one kind of request.
+type kindStats struct {
+	// assumed is the answer time assumed until answers have been observed.
+	assumed    time.Duration
+	byDistance [locality.Distances]distanceStats
 }
 
-// distanceTimes is the answer times of the upstreams at one distance.
-type distanceTimes struct {
+// distanceStats holds the answer times of the upstreams at one distance.
+type distanceStats struct {
 	tracker latency.Tracker
-	at      time.Time
-	median  time.Duration
-	tail    time.Duration
+	// median and tail are quantiles computed at computedAt, 0 while there are too few
+	// observations.
+	computedAt time.Time
+	median     time.Duration
+	tail       time.Duration
 }
 
-// upstream is what is known of one upstream since it started.
-type upstream struct {
-	// registered is the registration of that start.
-	registered *catalog.Upstream
-	slow       float64
-	weight     float64
-	// failures is the share of recent results that were the upstream's own failures, refusals
-	// the share of those that it refused for want of room.
-	failures  float64
-	refusals  float64
-	seen      time.Time
-	failedAt  time.Time
-	refusedAt time.Time
-	downUntil time.Time
-	downFor   time.Duration
-	coldUntil time.Time
-	// lateUntil is when the last late answer came: what was sent before it and
-	// comes after it was held up by the same pause.
-	lateUntil time.Time
-	// lateBefore says that the last answer was late as well.
-	lateBefore bool
-	// window is how many sends may be open at a time, 0 for any number; cutAt is
-	// when it was cut last.
-	window float64
-	cutAt  time.Time
-	// open holds the sends that have not ended.
-	open []open
-	// state is what it counted as when it was last asked for.
+// upstreamStats holds what was observed of one process of an upstream.
+type upstreamStats struct {
+	// registration is the one that the process made at its start.
+	registration *catalog.Upstream
+	// latencyRatio is the mean ratio of answer time to expected time, and weight the number
+	// of observations behind it, both as of observedAt.
+	latencyRatio float64
+	weight       float64
+	// failures is the share of recent results that were failures of the upstream itself, as
+	// of failuresAt; refusals is the share of refusals for lack of capacity, as of refusalsAt.
+	failures   float64
+	refusals   float64
+	observedAt time.Time
+	failuresAt time.Time
+	refusalsAt time.Time
+	downUntil  time.Time
+	backoff    time.Duration
+	coldUntil  time.Time
+	// lastLateAt is the arrival of the last late answer: a late send from before that time
+	// was delayed by the same pause.
+	lastLateAt time.Time
+	// lastWasLate is set if the last observed answer was late.
+	lastWasLate bool
+	// window limits the number of open sends, 0 for no limit; windowCutAt is when it was
+	// last reduced.
+	window      float64
+	windowCutAt time.Time
+	open        []openSend
+	// state is the result of the last classification.
 	state State
 }
 
-type open struct {
-	attempt uint64
-	sentAt  time.Time
-	usual   time.Duration
-	// waited is how long the send has waited here for a connection: that says
-	// nothing of the upstream.
-	waited func(time.Time) time.Duration
+// openSend is a send that has not ended.
+type openSend struct {
+	attempt  uint64
+	sentAt   time.Time
+	expected time.Duration
+	// queued returns how long the send has waited on this VM for a connection. That wait is
+	// not attributed to the upstream.
+	queued func(time.Time) time.Duration
 }
 
-// age is how long the upstream has had the send.
-func (o *open) age(now time.Time) time.Duration {
-	return now.Sub(o.sentAt) - o.waited(now)
+// age returns how long the upstream has had the send.
+func (o *openSend) age(now time.Time) time.Duration {
+	return now.Sub(o.sentAt) - o.queued(now)
 }
 
-// Table is what this VM knows of all upstreams. It is not safe for concurrent
-// use.
+// Table holds this VM's observations of all upstreams. It is not safe for concurrent use.
 type Table struct {
 	place     locality.Place
 	rand      *rand.Rand
-	kinds     map[string]*kind
-	upstreams map[string]*upstream
+	kinds     map[string]*kindStats
+	upstreams map[string]*upstreamStats
 }
 
-// New is a table that knows nothing.
+// New returns an empty table for a VM at place.
 func New(place locality.Place, r *rand.Rand) *Table {
-	return &Table{place: place, rand: r, kinds: map[string]*kind{}, upstreams: map[string]*upstream{}}
+	return &Table{place: place, rand: r, kinds: map[string]*kindStats{}, upstreams: map[string]*upstreamStats{}}
 }
 
-// Keep forgets the upstreams that are gone, and the former starts of those that have
-// started again, and notes how long new ones are cold. A process that has started again
-// knows nothing of before: judged by what the former one showed, it would be passed over
-// for as long as that is remembered, or get full work while it is cold.
+// Keep drops the upstreams that are not in known, keyed by id, and starts new observations
+// for those that are new or have restarted; their cold period begins now. Observations of
+// the former process would have the restarted one avoided until they decay, or given full
+// load while it is cold.
 func (t *Table) Keep(now time.Time, known map[string]*catalog.Upstream) {
 	for id := range t.upstreams {
 		if known[id] == nil {
@@ -154,14 +160,14 @@
 		}
 	}
 	for id, u := range known {
-		held := t.upstreams[id]
-		if held == nil || u.StartedAfter(held.registered) {
-			t.upstreams[id] = &upstream{registered: u, slow: 1, coldUntil: now.Add(u.ColdFor)}
+		current := t.upstreams[id]
+		if current == nil || u.StartedAfter(current.registration) {
+			t.upstreams[id] = &upstreamStats{registration: u, latencyRatio: 1, coldUntil: now.Add(u.ColdFor)}
 		}
 	}
 }
 
-// KeepKinds forgets the kinds of requests that are gone.
+// KeepKinds drops the kinds of requests that are not in known.
 func (t *Table) KeepKinds(known map[string]bool) {
 	for name := range t.kinds {
 		if !known[name] {
@@ -170,23 +176,23 @@
 	}
 }
 
-// Choose is the candidate with the least expected answer time, none of the
-// excluded; nil without one. usual is the answer time of the kind before any is
-// known; ahead is how many answers of each candidate come before a connection to
-// it is free, nil when all are.
-func (t *Table) Choose(now time.Time, kindName string, usual time.Duration, candidates []*catalog.Upstream, ahead []float64, excluded []string) *catalog.Upstream {
-	k := t.kind(kindName, usual)
+// Choose returns the candidate with the lowest cost whose id is not excluded, nil if there
+// is none. assumed is the answer time assumed for the kind until answers have been observed.
+// ahead holds, for each candidate, how many answers must arrive before a connection to it
+// is free; nil means that connections are free everywhere.
+func (t *Table) Choose(now time.Time, kindName string, assumed time.Duration, candidates []*catalog.Upstream, ahead []float64, excluded []string) *catalog.Upstream {
+	k := t.kind(kindName, assumed)
 	var best *catalog.Upstream
 	var bestCost float64
 	for i, c := range candidates {
 		if slices.Contains(excluded, c.ID) {
 			continue
 		}
-		wait := 0.0
+		queued := 0.0
 		if ahead != nil {
-			wait = ahead[i]
+			queued = ahead[i]
 		}
-		cost := t.cost(now, k, c, wait) * (1 + jitter*t.rand.Float64())
+		cost := t.cost(now, k, c, queued) * (1 + costJitter*t.rand.Float64())
 		if best == nil || cost < bestCost {
 			best = c
 			bestCost = cost
@@ -195,23 +201,24 @@
 	return best
 }
 
-// Reachable tells whether one of the candidates is not passed over as unreachable.
+// Reachable reports whether at least one candidate is not avoided as unreachable.
 func (t *Table) Reachable(now time.Time, candidates []*catalog.Upstream) bool {
 	return slices.ContainsFunc(candidates, func(c *catalog.Upstream) bool {
-		return !now.Before(t.upstream(c).downUntil)
+		return !now.Before(t.stats(c).downUntil)
 	})
 }
 
-// downCost is the cost in seconds of an upstream that cannot be reached: it is
-// chosen only when all others are out as well.
-const downCost = 60.0
+// downPenalty is the time in seconds added to the cost of an unreachable upstream, so that
+// it is chosen only if all others are unreachable too.
+const downPenalty = 60.0
 
-// coldFactor is how much slower an upstream is taken to be just after its start.
+// coldFactor is the assumed ratio of answer times while an upstream is cold.
 const coldFactor = 1.6
 
-// cost is the expected answer time in seconds, after ahead others.
-func (t *Table) cost(now time.Time, k *kind, c *catalog.Upstream, ahead float64) float64 {
-	u := t.upstream(c)
+// cost returns the expected answer time of c in seconds, with ahead answers to wait for
+// first, plus penalties.
+func (t *Table) cost(now time.Time, k *kindStats, c *catalog.Upstream, ahead float64) float64 {
+	u := t.stats(c)
 	base := t.median(now, k, t.place.Distance(c.DataCentre)).Seconds()
 	cost := base * u.slowness(now) * (1 + ahead)
 	if now.Before(u.coldUntil) {
@@ -219,202 +226,203 @@
 	}
 	cost += base * float64(len(u.open)) / float64(max(1, c.Slots))
 	if u.paused(now) {
-		cost += pausedCost.Seconds()
+		cost += pausePenalty.Seconds()
 	}
-	f := u.failing(now)
-	cost = cost/(1-min(f, 0.9)) + f*k.first.Seconds()
+	f := u.errorRate(now)
+	cost = cost/(1-min(f, 0.9)) + f*k.assumed.Seconds()
 	if now.Before(u.downUntil) {
-		cost += downCost
+		cost += downPenalty
 	}
 	return cost
 }
 
-// slowness is the upstream's answer time against the usual one.
-func (u *upstream) slowness(now time.Time) float64 {
-	w := u.weight * fading(now.Sub(u.seen), slowHalfLife)
-	return (w*u.slow + priorWeight) / (w + priorWeight)
+// slowness returns the ratio of the upstream's answer time to the expected one.
+func (u *upstreamStats) slowness(now time.Time) float64 {
+	w := u.weight * decay(now.Sub(u.observedAt), slownessHalfLife)
+	return (w*u.latencyRatio + priorWeight) / (w + priorWeight)
 }
 
-func (u *upstream) failing(now time.Time) float64 {
-	return 1 - (1-u.faulty(now))*(1-u.refusing(now))
+// errorRate returns the share of requests expected to fail or to be refused.
+func (u *upstreamStats) errorRate(now time.Time) float64 {
+	return 1 - (1-u.failureRate(now))*(1-u.refusalRate(now))
 }
 
-func (u *upstream) faulty(now time.Time) float64 {
-	return u.failures * fading(now.Sub(u.failedAt), faultHalfLife)
+func (u *upstreamStats) failureRate(now time.Time) float64 {
+	return u.failures * decay(now.Sub(u.failuresAt), failureHalfLife)
 }
 
-func (u *upstream) refusing(now time.Time) float64 {
-	return u.refusals * fading(now.Sub(u.refusedAt), refusalHalfLife)
+func (u *upstreamStats) refusalRate(now time.Time) float64 {
+	return u.refusals * decay(now.Sub(u.refusalsAt), refusalHalfLife)
 }
 
-// paused tells whether the oldest open request has waited far beyond its usual
-// time. Answers alone would show a pause only when it is over.
-func (u *upstream) paused(now time.Time) bool {
+// paused reports whether any open send is late. Answers alone would reveal a pause only
+// after its end.
+func (u *upstreamStats) paused(now time.Time) bool {
 	for i := range u.open {
-		if o := &u.open[i]; float64(o.age(now)) > lateFactor*float64(o.usual) {
+		if o := &u.open[i]; float64(o.age(now)) > lateFactor*float64(o.expected) {
 			return true
 		}
 	}
 	return false
 }
 
-// Sent notes a send to an upstream; waited tells how long it has waited for a
-// connection, at any time until it has ended.
-func (t *Table) Sent(now time.Time, kindName string, usual time.Duration, c *catalog.Upstream, attempt uint64, waited func(time.Time) time.Duration) {
-	k := t.kind(kindName, usual)
-	u := t.upstream(c)
+// Sent records a send to an upstream. queued returns how long the send has waited for a
+// connection; it may be called until the send ends.
+func (t *Table) Sent(now time.Time, kindName string, assumed time.Duration, c *catalog.Upstream, attempt uint64, queued func(time.Time) time.Duration) {
+	k := t.kind(kindName, assumed)
+	u := t.stats(c)
 	expected := t.median(now, k, t.place.Distance(c.DataCentre))
-	u.open = append(u.open, open{attempt: attempt, sentAt: now, usual: expected, waited: waited})
+	u.open = append(u.open, openSend{attempt: attempt, sentAt: now, expected: expected, queued: queued})
 }
 
-// Answered notes an answer after the time that it took.
-func (t *Table) Answered(now time.Time, kindName string, usual time.Duration, c *catalog.Upstream, attempt uint64, took time.Duration) {
-	k := t.kind(kindName, usual)
-	u := t.upstream(c)
+// Answered records an answer that took the given time, without the wait for a connection.
+func (t *Table) Answered(now time.Time, kindName string, assumed time.Duration, c *catalog.Upstream, attempt uint64, took time.Duration) {
+	k := t.kind(kindName, assumed)
+	u := t.stats(c)
 	open := len(u.open)
-	u.close(attempt)
+	u.removeOpen(attempt)
 	d := t.place.Distance(c.DataCentre)
 	if !now.Before(u.coldUntil) {
-		k.far[d].tracker.Observe(now, took)
+		k.byDistance[d].tracker.Observe(now, took)
 	}
 	ratio := float64(took) / float64(t.median(now, k, d))
 	u.observe(now, now.Add(-took), ratio)
-	u.turnWindow(now, now.Add(-took), ratio, open)
-	u.failures, u.failedAt = u.faulty(now)*(1-faultShare), now
-	u.refusals, u.refusedAt = u.refusing(now)*(1-refusalShare), now
+	u.adjustWindow(now, now.Add(-took), ratio, open)
+	u.failures, u.failuresAt = u.failureRate(now)*(1-failureAlpha), now
+	u.refusals, u.refusalsAt = u.refusalRate(now)*(1-refusalAlpha), now
 	u.downUntil = time.Time{}
-	u.downFor = 0
+	u.backoff = 0
 }
 
-// Abandoned notes a send whose answer nobody waits for any more and that has
-// waited for so long. What is sent to a stuck upstream never answers: by answers
-// alone it would stay unknown and look as good as the others.
-func (t *Table) Abandoned(now time.Time, kindName string, usual time.Duration, c *catalog.Upstream, attempt uint64, waited time.Duration) {
-	k := t.kind(kindName, usual)
-	u := t.upstream(c)
+// Abandoned records a send that was given up after waiting for the given time. A stuck
+// upstream never answers: if only answers counted, it would keep the cost of an upstream of
+// which nothing is known and be chosen as often as the others.
+func (t *Table) Abandoned(now time.Time, kindName string, assumed time.Duration, c *catalog.Upstream, attempt uint64, waited time.Duration) {
+	k := t.kind(kindName, assumed)
+	u := t.stats(c)
 	open := len(u.open)
-	u.close(attempt)
+	u.removeOpen(attempt)
 	ratio := float64(waited) / float64(t.median(now, k, t.place.Distance(c.DataCentre)))
 	if ratio > u.slowness(now) {
 		u.observe(now, now.Add(-waited), ratio)
 	}
 	if ratio > lateFactor {
-		u.turnWindow(now, now.Add(-waited), ratio, open)
+		u.adjustWindow(now, now.Add(-waited), ratio, open)
 	}
 }
 
-// Failed notes a send that brought no answer by a fault of the upstream.
+// Failed records a send that got no answer through a fault of the upstream.
 func (t *Table) Failed(now time.Time, c *catalog.Upstream, attempt uint64) {
-	u := t.upstream(c)
-	u.close(attempt)
-	u.failures, u.failedAt = u.faulty(now)*(1-faultShare)+faultShare, now
+	u := t.stats(c)
+	u.removeOpen(attempt)
+	u.failures, u.failuresAt = u.failureRate(now)*(1-failureAlpha)+failureAlpha, now
 }
 
-// Refused notes a send that the upstream refused, as far as is known for want of room.
+// Refused records a send that the upstream refused, presumably for lack of capacity.
 func (t *Table) Refused(now time.Time, c *catalog.Upstream, attempt uint64) {
-	u := t.upstream(c)
-	u.close(attempt)
-	u.refusals, u.refusedAt = u.refusing(now)*(1-refusalShare)+refusalShare, now
+	u := t.stats(c)
+	u.removeOpen(attempt)
+	u.refusals, u.refusalsAt = u.refusalRate(now)*(1-refusalAlpha)+refusalAlpha, now
 }
 
-// Unreachable notes an upstream to which no connection could be made.
+// Unreachable records a failure to connect to an upstream.
 func (t *Table) Unreachable(now time.Time, c *catalog.Upstream, attempt uint64) {
-	u := t.upstream(c)
-	u.close(attempt)
-	u.downFor = min(max(downFirst, 2*u.downFor), downMost)
-	u.downUntil = now.Add(u.downFor)
+	u := t.stats(c)
+	u.removeOpen(attempt)
+	u.backoff = min(max(minBackoff, 2*u.backoff), maxBackoff)
+	u.downUntil = now.Add(u.backoff)
 }
 
-// Unsent notes a send that was not made after all.
+// Unsent removes an open send without recording a result, as for one that was not made.
 func (t *Table) Unsent(c *catalog.Upstream, attempt uint64) {
-	t.upstream(c).close(attempt)
+	t.stats(c).removeOpen(attempt)
 }
 
-// HedgeDelay is how long an answer of the upstream may take before the request
-// counts as late: the tail of the kind's answer times. Where the objective leaves
-// room for it, the delay is longer, since each hedge is extra load: up to patience
-// times usual, as long as the hedge's own answer still has spareMedians times its
-// usual time.
-func (t *Table) HedgeDelay(now time.Time, kindName string, usual, objective time.Duration, c *catalog.Upstream) time.Duration {
-	k := t.kind(kindName, usual)
+// HedgeDelay returns how long to wait for an answer of the upstream before the request is
+// hedged: the tail of the answer times of its kind. Since each hedge is extra load, the
+// delay is longer where the objective leaves room: up to maxDelayFactor times assumed, as
+// long as the hedge still has hedgeReserve medians for its own answer. The delay never
+// exceeds twice assumed.
+func (t *Table) HedgeDelay(now time.Time, kindName string, assumed, objective time.Duration, c *catalog.Upstream) time.Duration {
+	k := t.kind(kindName, assumed)
 	distance := t.place.Distance(c.DataCentre)
 	t.median(now, k, distance)
-	tail := k.far[distance].tail
+	tail := k.byDistance[distance].tail
 	if tail == 0 {
-		return usual
+		return assumed
 	}
-	room := objective - time.Duration(spareMedians*float64(t.median(now, k, locality.Far)))
-	return min(max(tail, min(room, time.Duration(patience*float64(usual)))), 2*usual)
+	room := objective - time.Duration(hedgeReserve*float64(t.median(now, k, locality.Far)))
+	return min(max(tail, min(room, time.Duration(maxDelayFactor*float64(assumed)))), 2*assumed)
 }
 
-// observe takes in one answer time against the usual one. Answers that the same
-// pause held up count once: a pause of a tenth of a second would otherwise look
-// like as many slow answers as requests had come meanwhile, and the upstream be
-// avoided long after it.
-func (u *upstream) observe(now, sentAt time.Time, ratio float64) {
+// observe adds the ratio of an answer time to the expected one. Late answers that were
+// delayed by the same pause count once: otherwise a pause of a tenth of a second would look
+// like as many slow answers as requests had arrived during it, and the upstream would be
+// avoided long after its end.
+func (u *upstreamStats) observe(now, sentAt time.Time, ratio float64) {
 	if ratio > lateFactor {
-		if sentAt.Before(u.lateUntil) {
+		if sentAt.Before(u.lastLateAt) {
 			return
 		}
-		u.lateUntil = now
-		if !u.lateBefore {
-			ratio = min(ratio, lateMost)
+		u.lastLateAt = now
+		if !u.lastWasLate {
+			ratio = min(ratio, maxLateRatio)
 		}
 	}
-	u.lateBefore = ratio > lateFactor
-	w := u.weight * fading(now.Sub(u.seen), slowHalfLife)
-	u.slow = (w*u.slow + ratio) / (w + 1)
-	u.weight = min(w+1, maxWeight)
-	u.seen = now
+	u.lastWasLate = ratio > lateFactor
+	w := u.weight * decay(now.Sub(u.observedAt), slownessHalfLife)
+	u.latencyRatio = (w*u.latencyRatio + ratio) / (w + 1)
+	u.weight = min(w+1, maxSlownessWeight)
+	u.observedAt = now
 }
 
-func (u *upstream) close(attempt uint64) {
-	u.open = slices.DeleteFunc(u.open, func(o open) bool { return o.attempt == attempt })
+func (u *upstreamStats) removeOpen(attempt uint64) {
+	u.open = slices.DeleteFunc(u.open, func(o openSend) bool { return o.attempt == attempt })
 }
 
-// upstream is what is known of a registration's start. Of one that is over by now it is
-// nothing, and what is noted of it is lost: a query that was planned before may still hold
-// the registration.
-func (t *Table) upstream(c *catalog.Upstream) *upstream {
+// stats returns the observations of the process that made a registration. A query planned
+// earlier may still hold the registration of a former process: it gets empty observations,
+// and what is recorded in them is discarded.
+func (t *Table) stats(c *catalog.Upstream) *upstreamStats {
 	u := t.upstreams[c.ID]
 	if u == nil {
-		u = &upstream{registered: c, slow: 1}
+		u = &upstreamStats{registration: c, latencyRatio: 1}
 		t.upstreams[c.ID] = u
 	}
-	if u.registered.StartedAfter(c) {
-		return &upstream{registered: c, slow: 1}
+	if u.registration.StartedAfter(c) {
+		return &upstreamStats{registration: c, latencyRatio: 1}
 	}
 	return u
 }
 
-func (t *Table) kind(name string, usual time.Duration) *kind {
+func (t *Table) kind(name string, assumed time.Duration) *kindStats {
 	k := t.kinds[name]
 	if k == nil {
-		k = &kind{first: usual}
+		k = &kindStats{assumed: assumed}
 		t.kinds[name] = k
 	}
 	return k
 }
 
-// median is the usual answer time of a kind at a distance, and brings its tail
-// up to date.
-func (t *Table) median(now time.Time, k *kind, d locality.Distance) time.Duration {
-	f := &k.far[d]
-	if f.median == 0 || now.Sub(f.at) >= refresh {
-		f.at = now
+// median returns the median answer time of a kind at a distance, or an estimate if none has
+// been observed. It recomputes the cached median and tail when they have expired.
+func (t *Table) median(now time.Time, k *kindStats, d locality.Distance) time.Duration {
+	f := &k.byDistance[d]
+	if f.median == 0 || now.Sub(f.computedAt) >= quantileTTL {
+		f.computedAt = now
 		f.median, f.tail = 0, 0
 		if f.tracker.Weight(now) >= 1 {
 			f.median = f.tracker.Quantile(0.5)
 		}
-		if f.tracker.Weight(now) >= enoughSeen {
+		if f.tracker.Weight(now) >= minTailWeight {
 			f.tail = f.tracker.Quantile(hedgeQuantile)
 		}
 	}
 	if f.median > 0 {
 		return f.median
 	}
-	if d > locality.Near && k.far[locality.Near].median > 0 {
-		return k.far[locality.Near].median + farPrior[d]
+	if d > locality.Near && k.byDistance[locality.Near].median > 0 {
+		return k.byDistance[locality.Near].median + distancePenalty[d]
 	}
-	return k.first/2 + farPrior[d]
+	return k.assumed/2 + distancePenalty[d]
 }
--- a/internal/replica/restart_test.go
+++ b/internal/replica/restart_test.go
@@ -7,7 +7,8 @@
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
 )
 
-// restarted is the registration of a later start of an upstream under the same id.
+// restarted returns the registration of u's next process under the same id, cold for the
+// given time.
 func restarted(u *catalog.Upstream, cold time.Duration) *catalog.Upstream {
 	next := *u
 	next.Born = u.Born.Add(time.Minute)
@@ -15,85 +16,83 @@
 	return &next
 }
 
-// bornRig is a rig whose upstreams say when they started.
-func bornRig() *rig {
-	r := newRig()
-	for _, u := range r.ups {
+// newDatedFixture returns a fixture whose upstreams report when they started.
+func newDatedFixture() *fixture {
+	f := newFixture()
+	for _, u := range f.replicas {
 		u.Born = start
 	}
-	return r
+	return f
 }
 
-func (r *rig) keep() {
+// keep applies the current registrations.
+func (f *fixture) keep() {
 	known := map[string]*catalog.Upstream{}
-	for _, u := range r.ups {
+	for _, u := range f.replicas {
 		known[u.ID] = u
 	}
-	r.table.Keep(r.now, known)
+	f.table.Keep(f.now, known)
 }
 
-// Symptom: an upstream that has started again is passed over as slow and failing, or
-// gets full work while it is cold.
-// Sequence: it fails, its process ends and starts again under the id it had.
-// Cause: what was observed of the former process was kept under the id.
-func TestAnUpstreamThatStartedAgainIsANewOne(t *testing.T) {
-	r := bornRig()
-	r.keep()
-	r.warm()
-	u := r.ups[0]
+// Guards against a restarted upstream that is avoided as slow and failing, or gets full load
+// while it is cold, because the observations of its former process were kept under its id.
+func TestRestartDiscardsObservations(t *testing.T) {
+	f := newDatedFixture()
+	f.keep()
+	f.warm()
+	u := f.replicas[0]
 	for range 6 {
-		r.attempt++
-		r.table.Sent(r.now, "k", usual, u, r.attempt, unqueued)
-		r.table.Failed(r.now, u, r.attempt)
+		f.attempt++
+		f.table.Sent(f.now, "k", assumed, u, f.attempt, noWait)
+		f.table.Failed(f.now, u, f.attempt)
 	}
-	r.table.Sent(r.now, "k", usual, u, 1000, unqueued)
-	r.table.Unreachable(r.now, u, 1001)
-	r.ups[0] = restarted(u, 2*time.Second)
-	r.keep()
-	got := *r.table.upstreams[u.ID]
+	f.table.Sent(f.now, "k", assumed, u, 1000, noWait)
+	f.table.Unreachable(f.now, u, 1001)
+	f.replicas[0] = restarted(u, 2*time.Second)
+	f.keep()
+	got := *f.table.upstreams[u.ID]
 	if got.failures != 0 || got.weight != 0 || got.downUntil != (time.Time{}) || len(got.open) != 0 {
 		t.Errorf("%+v", got)
 	}
-	if want := r.now.Add(2 * time.Second); !got.coldUntil.Equal(want) {
+	if want := f.now.Add(2 * time.Second); !got.coldUntil.Equal(want) {
 		t.Errorf("cold until %v, want %v", got.coldUntil, want)
 	}
 }
 
-// Symptom: an upstream counts as slow or as failing just after its start.
-// Sequence: sends to its former process end after the new one is known.
-// Cause: they were counted against the id.
-func TestSendsToAFormerStartSayNothingOfTheNewOne(t *testing.T) {
-	r := bornRig()
-	r.keep()
-	r.warm()
-	former := r.ups[0]
+// Guards against an upstream that counts as slow or failing just after its restart, because
+// sends to its former process ended after the new registration had arrived.
+func TestSendsToFormerProcessAreIgnored(t *testing.T) {
+	f := newDatedFixture()
+	f.keep()
+	f.warm()
+	former := f.replicas[0]
 	for attempt := range uint64(4) {
-		r.table.Sent(r.now, "k", usual, former, 1000+attempt, unqueued)
+		f.table.Sent(f.now, "k", assumed, former, 1000+attempt, noWait)
 	}
-	r.ups[0] = restarted(former, 0)
-	r.keep()
-	r.now = r.now.Add(time.Second)
-	r.table.Answered(r.now, "k", usual, former, 1000, time.Second)
-	r.table.Abandoned(r.now, "k", usual, former, 1001, time.Second)
-	r.table.Failed(r.now, former, 1002)
-	r.table.Unreachable(r.now, former, 1003)
-	got := *r.table.upstreams[former.ID]
+	f.replicas[0] = restarted(former, 0)
+	f.keep()
+	f.now = f.now.Add(time.Second)
+	f.table.Answered(f.now, "k", assumed, former, 1000, time.Second)
+	f.table.Abandoned(f.now, "k", assumed, former, 1001, time.Second)
+	f.table.Failed(f.now, former, 1002)
+	f.table.Unreachable(f.now, former, 1003)
+	got := *f.table.upstreams[former.ID]
 	if got.weight != 0 || got.failures != 0 || got.downUntil != (time.Time{}) || got.window != 0 {
 		t.Errorf("%+v", got)
 	}
 }
 
-// An entry of an earlier start, which a query still holds, does not undo the later one.
-func TestAnEarlierStartChangesNothing(t *testing.T) {
-	r := bornRig()
-	former := r.ups[0]
-	r.ups[0] = restarted(former, 0)
-	r.keep()
-	r.warm()
-	weight := r.table.upstreams[former.ID].weight
-	r.ups[0] = former
-	r.keep()
-	if got := r.table.upstreams[former.ID].weight; got != weight || weight == 0 {
+// A registration of a former process does not replace that of a later one.
+func TestKeepIgnoresFormerRegistration(t *testing.T) {
+	f := newDatedFixture()
+	former := f.replicas[0]
+	f.replicas[0] = restarted(former, 0)
+	f.keep()
+	f.warm()
+	weight := f.table.upstreams[former.ID].weight
+	f.replicas[0] = former
+	f.keep()
+	if got := f.table.upstreams[former.ID].weight; got != weight || weight == 0 {
 		t.Errorf("weight %v, before %v", got, weight)
 	}
 }
--- a/internal/replica/state.go
+++ b/internal/replica/state.go
@@ -2,91 +2,92 @@
 
 import "time"
 
-// State is what an upstream counts as, for logs and metrics. Choices go by its
-// cost, which has no steps.
+// State classifies an upstream for logs and metrics. Choose does not use it: it ranks
+// upstreams by a continuous cost.
 type State int
 
-// States, from the best to the worst.
+// States, from best to worst.
 const (
 	// Usable upstreams answer about as fast as others of their service.
 	Usable State = iota
-	// Slow ones take much longer than usual.
+	// Slow upstreams take much longer than expected.
 	Slow
-	// Paused ones have an open request that is overdue by far.
+	// Paused upstreams have an open send that is far overdue.
 	Paused
-	// Failing ones answer a good part of their requests with failures.
+	// Failing upstreams fail or refuse a large share of their requests.
 	Failing
-	// Unreachable ones accept no connection.
+	// Unreachable upstreams accept no connection.
 	Unreachable
 )
 
-// States is all of them.
+// States lists all states.
 var States = []State{Usable, Slow, Paused, Failing, Unreachable}
 
-// String is the state's name in logs and metrics.
+// String returns the state's name in logs and metrics.
 func (s State) String() string {
 	return [...]string{"usable", "slow", "paused", "failing", "unreachable"}[s]
 }
 
-// An upstream enters a state at one bound and leaves it at a lower one, so that
-// one that is near a bound does not fill the log.
+// The thresholds have hysteresis: an upstream enters a state at one value and leaves it at a
+// lower one, so that an upstream near a threshold does not flood the log.
 const (
-	// slowFrom and slowUntil are times the usual answer time: twice as slow
-	// halves an upstream's share of the requests.
-	slowFrom  = 2.0
-	slowUntil = 1.5
-	// failingFrom and failingUntil are shares of failures: one failure weighs
-	// faultShare, so that it takes two that are close together.
-	failingFrom  = 0.6
-	failingUntil = 0.3
-	// pausedFrom is how long the oldest open request must have waited: pauses of
-	// a garbage collector are over before, and too frequent for a line each.
-	pausedFrom = 400 * time.Millisecond
+	// enterSlow and leaveSlow are ratios to the expected answer time: an upstream that is
+	// twice as slow gets half its share of the requests.
+	enterSlow = 2.0
+	leaveSlow = 1.5
+	// enterFailing and leaveFailing are rates of failures and refusals. One failure adds
+	// failureAlpha, so it takes two in short succession to enter.
+	enterFailing = 0.6
+	leaveFailing = 0.3
+	// minPause is the minimum age of the oldest open send of a paused upstream. Pauses of a
+	// garbage collector are shorter, and too frequent for one log line each.
+	minPause = 400 * time.Millisecond
 )
 
-// StateChange is a change of an upstream's state and the grounds for it.
+// StateChange is a change of an upstream's state, with the values that it is based on.
 type StateChange struct {
 	Upstream string
 	Was, Is  State
-	// Slowness is the answer time against the usual one.
+	// Slowness is the ratio of the upstream's answer time to the expected one.
 	Slowness float64
-	// Failures is the share of recent requests that failed, 0 to 1.
+	// Failures is the share of recent requests that failed or were refused, 0 to 1.
 	Failures float64
-	// Open is the requests under way from this VM.
+	// Open is the number of open sends from this VM.
 	Open int
 }
 
-// StateChanges gives the upstreams whose state has changed since it was last asked.
+// StateChanges classifies all upstreams anew and returns those whose state differs from
+// the previous classification.
 func (t *Table) StateChanges(now time.Time) []StateChange {
 	var out []StateChange
 	for id := range t.upstreams {
-		if turn, ok := t.StateChanged(now, id); ok {
-			out = append(out, turn)
+		if change, ok := t.StateChanged(now, id); ok {
+			out = append(out, change)
 		}
 	}
 	return out
 }
 
-// StateChanged gives the change of one upstream's state since it was last asked; false
-// without one, and for an upstream that is not known.
+// StateChanged classifies one upstream anew and reports whether its state differs from the
+// previous classification. It returns false for an unknown upstream.
 func (t *Table) StateChanged(now time.Time, id string) (StateChange, bool) {
 	u := t.upstreams[id]
 	if u == nil {
 		return StateChange{}, false
 	}
-	was, is := u.state, u.judge(now)
+	was, is := u.state, u.classify(now)
 	u.state = is
 	return StateChange{
 		Upstream: id,
 		Was:      was,
 		Is:       is,
 		Slowness: u.slowness(now),
-		Failures: u.failing(now),
+		Failures: u.errorRate(now),
 		Open:     len(u.open),
 	}, was != is
 }
 
-// Count is how many upstreams are in each state, as last judged.
+// Count returns the number of upstreams by state, as of their last classification.
 func (t *Table) Count() map[State]int {
 	out := map[State]int{}
 	for _, u := range t.upstreams {
@@ -95,7 +96,8 @@
 	return out
 }
 
-// Troubled is the upstreams that are not usable, as last judged.
+// Troubled returns the states of the upstreams that are not usable, by id, as of their last
+// classification.
 func (t *Table) Troubled() map[string]State {
 	out := map[string]State{}
 	for id, u := range t.upstreams {
@@ -106,20 +108,21 @@
 	return out
 }
 
-func (u *upstream) judge(now time.Time) State {
-	failing, slow := failingFrom, slowFrom
+// classify returns the upstream's state now, given the one it had before.
+func (u *upstreamStats) classify(now time.Time) State {
+	failing, slow := enterFailing, enterSlow
 	if u.state == Failing {
-		failing = failingUntil
+		failing = leaveFailing
 	}
 	if u.state == Slow {
-		slow = slowUntil
+		slow = leaveSlow
 	}
 	switch {
 	case now.Before(u.downUntil):
 		return Unreachable
-	case u.failing(now) >= failing:
+	case u.errorRate(now) >= failing:
 		return Failing
-	case u.paused(now) && u.oldest(now) >= pausedFrom:
+	case u.paused(now) && u.oldestOpen(now) >= minPause:
 		return Paused
 	case u.slowness(now) >= slow:
 		return Slow
@@ -128,8 +131,8 @@
 	}
 }
 
-// oldest is how long the oldest open request has waited.
-func (u *upstream) oldest(now time.Time) time.Duration {
+// oldestOpen returns the age of the oldest open send, 0 if there is none.
+func (u *upstreamStats) oldestOpen(now time.Time) time.Duration {
 	var longest time.Duration
 	for i := range u.open {
 		longest = max(longest, u.open[i].age(now))
--- a/internal/replica/state_test.go
+++ b/internal/replica/state_test.go
@@ -5,70 +5,70 @@
 	"time"
 )
 
-// Each row is what an upstream shows, what it counts as then, and that it counts
-// as usable again once the trouble has passed.
-func TestStatesOfAnUpstream(t *testing.T) {
+// Each case records observations of an upstream and checks its state, and that the upstream
+// is usable again ten seconds later.
+func TestStates(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		show func(r *rig)
-		want State
+		name    string
+		observe func(f *fixture)
+		want    State
 	}{
-		{"answers as usual", func(r *rig) { r.answer(r.ups[0], 30*ms) }, Usable},
-		{"one failure", func(r *rig) { r.fail() }, Usable},
-		{"failures in a row", func(r *rig) { r.fail(); r.fail() }, Failing},
-		{"four times slower", func(r *rig) { r.answer(r.ups[0], 120*ms); r.answer(r.ups[0], 120*ms) }, Slow},
-		{"no answer yet, far beyond the usual time", func(r *rig) {
-			r.table.Sent(r.now, "k", usual, r.ups[0], 1e6, unqueued)
-			r.now = r.now.Add(400 * ms)
+		{"answers at the expected time", func(f *fixture) { f.answer(f.replicas[0], 30*ms) }, Usable},
+		{"one failure", func(f *fixture) { f.fail() }, Usable},
+		{"failures in a row", func(f *fixture) { f.fail(); f.fail() }, Failing},
+		{"four times slower", func(f *fixture) { f.answer(f.replicas[0], 120*ms); f.answer(f.replicas[0], 120*ms) }, Slow},
+		{"no answer, far beyond the expected time", func(f *fixture) {
+			f.table.Sent(f.now, "k", assumed, f.replicas[0], 1e6, noWait)
+			f.now = f.now.Add(400 * ms)
 		}, Paused},
-		{"no answer for as long as a short pause", func(r *rig) {
-			r.table.Sent(r.now, "k", usual, r.ups[0], 1e6, unqueued)
-			r.now = r.now.Add(100 * ms)
+		{"no answer for as long as a short pause", func(f *fixture) {
+			f.table.Sent(f.now, "k", assumed, f.replicas[0], 1e6, noWait)
+			f.now = f.now.Add(100 * ms)
 		}, Usable},
-		{"takes no connection", func(r *rig) {
-			r.table.Sent(r.now, "k", usual, r.ups[0], 1e6, unqueued)
-			r.table.Unreachable(r.now, r.ups[0], 1e6)
+		{"accepts no connection", func(f *fixture) {
+			f.table.Sent(f.now, "k", assumed, f.replicas[0], 1e6, noWait)
+			f.table.Unreachable(f.now, f.replicas[0], 1e6)
 		}, Unreachable},
 	} {
-		r := newRig()
-		r.warm()
-		r.table.StateChanges(r.now)
-		c.show(r)
-		turn, changed := r.table.StateChanged(r.now, "a")
-		if turn.Is != c.want || changed != (c.want != Usable) {
-			t.Errorf("%s: %v (changed %v, slowness %.1f, failures %.2f), want %v", c.name, turn.Is, changed, turn.Slowness, turn.Failures, c.want)
+		f := newFixture()
+		f.warm()
+		f.table.StateChanges(f.now)
+		c.observe(f)
+		change, changed := f.table.StateChanged(f.now, "a")
+		if change.Is != c.want || changed != (c.want != Usable) {
+			t.Errorf("%s: %v (changed %v, slowness %.1f, failures %.2f), want %v", c.name, change.Is, changed, change.Slowness, change.Failures, c.want)
 		}
-		if r.table.Count()[c.want] == 0 {
-			t.Errorf("%s: not counted: %v", c.name, r.table.Count())
+		if f.table.Count()[c.want] == 0 {
+			t.Errorf("%s: not counted: %v", c.name, f.table.Count())
 		}
-		r.table.Unsent(r.ups[0], 1e6)
-		r.now = r.now.Add(10 * time.Second)
-		if turns := r.table.StateChanges(r.now); changed && (len(turns) != 1 || turns[0].Is != Usable || turns[0].Was != c.want) {
-			t.Errorf("%s: ten seconds later: %+v", c.name, turns)
+		f.table.Unsent(f.replicas[0], 1e6)
+		f.now = f.now.Add(10 * time.Second)
+		if changes := f.table.StateChanges(f.now); changed && (len(changes) != 1 || changes[0].Is != Usable || changes[0].Was != c.want) {
+			t.Errorf("%s: ten seconds later: %+v", c.name, changes)
 		}
 	}
 }
 
-// An upstream near a bound does not go to and fro: it has to get clearly better.
-func TestAStateIsLeftBelowWhereItIsEntered(t *testing.T) {
-	u := &upstream{slow: 2.2, weight: 1e9, seen: start}
-	table := &Table{upstreams: map[string]*upstream{"a": u}}
+// An upstream near a threshold does not flap between two states.
+func TestStatesHaveHysteresis(t *testing.T) {
+	u := &upstreamStats{latencyRatio: 2.2, weight: 1e9, observedAt: start}
+	table := &Table{upstreams: map[string]*upstreamStats{"a": u}}
 	for _, c := range []struct {
-		slow float64
-		want State
+		ratio float64
+		want  State
 	}{{2.2, Slow}, {1.8, Slow}, {1.4, Usable}, {1.8, Usable}, {2.1, Slow}} {
-		u.slow = c.slow
-		if turn, _ := table.StateChanged(start, "a"); turn.Is != c.want {
-			t.Errorf("slowness %v: %v, want %v", c.slow, turn.Is, c.want)
+		u.latencyRatio = c.ratio
+		if change, _ := table.StateChanged(start, "a"); change.Is != c.want {
+			t.Errorf("slowness %v: %v, want %v", c.ratio, change.Is, c.want)
 		}
 	}
 	if _, known := table.StateChanged(start, "other"); known {
-		t.Error("an unknown upstream has a state")
+		t.Error("a state change of an unknown upstream")
 	}
 }
 
-func (r *rig) fail() {
-	r.attempt++
-	r.table.Sent(r.now, "k", usual, r.ups[0], r.attempt, unqueued)
-	r.table.Failed(r.now, r.ups[0], r.attempt)
+func (f *fixture) fail() {
+	f.attempt++
+	f.table.Sent(f.now, "k", assumed, f.replicas[0], f.attempt, noWait)
+	f.table.Failed(f.now, f.replicas[0], f.attempt)
 }
--- a/internal/replica/window.go
+++ b/internal/replica/window.go
@@ -6,27 +6,28 @@
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
 )
 
-// windowMost is the bound on open sends from which on there is none: more than
-// a VM's part of the connections to one upstream.
-const windowMost = 16
+// maxWindow is the window size above which the limit is lifted: more than a VM's share of
+// the connections to one upstream.
+const maxWindow = 16
 
-// turnWindow moves the bound on open sends after one that took ratio times the
-// usual: a late one halves what was open, once for all that were open together; one
-// in time lets one more go. Without it an upstream that has become slow, or is left
-// alone with the load of its copies, gets a queue of seconds, and each request is
-// late that waits in it.
-func (u *upstream) turnWindow(now, sentAt time.Time, ratio float64, open int) {
+// adjustWindow updates the limit on open sends after a send that took ratio times its
+// expected time; open is how many sends were open then, itself included. A late send halves
+// the number of open sends, once for all that were open together; one in time raises the
+// limit by one. Without the limit, an upstream that has become slow, or that takes the load
+// of its shard's other replicas, builds up a queue of seconds, and every request that waits
+// in it is late.
+func (u *upstreamStats) adjustWindow(now, sentAt time.Time, ratio float64, open int) {
 	switch {
-	case ratio > lateFactor && sentAt.After(u.cutAt):
-		u.cutAt = now
+	case ratio > lateFactor && sentAt.After(u.windowCutAt):
+		u.windowCutAt = now
 		u.window = max(1, float64(open)/2)
 	case ratio <= lateFactor && u.window > 0:
 		u.window++
-		if u.window > windowMost {
+		if u.window > maxWindow {
 			u.window = 0
 		}
 	}
 }
 
-// Window is how many sends to an upstream may be open at a time, 0 for any number.
-func (t *Table) Window(c *catalog.Upstream) int { return int(t.upstream(c).window) }
+// Window returns how many sends to an upstream may be open at a time; 0 means no limit.
+func (t *Table) Window(c *catalog.Upstream) int { return int(t.stats(c).window) }
