--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -1,127 +1,131 @@
-// Package retrybudget bounds how many extra sends (retries and hedges) a VM may
-// add to a service. The bound that operators set covers all VMs together: in any
-// window, at most a share of the service's requests plus an allowance. No
-// message is needed for it. Each VM has a bucket: a request puts the share in, an
-// extra send takes one out. Half of the VM's part of the allowance is what the bucket
-// holds, the other half flows in over a window. What a VM sends in a window is then at
-// most what its requests of that very window put in, what flowed in meanwhile, and
-// what was in the bucket before: over all VMs, the share of the requests and the
-// allowance. A bucket is empty when a process starts, so that this holds however
-// callers move between VMs, and however often processes are replaced. Of a service that a
-// process has not sent to yet the bucket has filled since then all the same.
+// Package retrybudget limits the extra sends (retries and hedges) that a VM may make to a
+// service. Operators set one limit for all VMs together: in any window, at most a ratio of
+// the service's requests plus an allowance.
+//
+// The limit holds without messages between VMs. Each VM has a token bucket per service: a
+// request adds the ratio, an extra send takes one token. The bucket holds up to half of the
+// VM's share of the allowance; the other half flows in over a window. A VM's extra sends in a
+// window are therefore at most what its requests of that window added, plus what flowed in
+// during it, plus what the bucket held before. Summed over all VMs, that is the ratio of the
+// requests plus the allowance.
+//
+// The bucket is empty when a process starts, so that the limit holds however callers move
+// between VMs and however often processes are replaced. A bucket that is created for a
+// service later is filled for the time since then.
 package retrybudget
 
 import "time"
 
-// burstShare is the part of the allowance that a bucket holds; the rest flows in.
-// With all of it held, extra sends of troubles that last are those that requests
-// earn alone.
-const burstShare = 0.5
+// burstFraction is the part of the allowance that a bucket holds; the rest flows in. If a
+// bucket held all of it, a lasting fault would leave only the extra sends that requests
+// earn.
+const burstFraction = 0.5
 
-// leastBurst is the least that a bucket holds: with less nothing could ever be
-// sent, as where there is no allowance. Fleets with as many VMs as extra sends in
-// their allowance, or more, may pass the bound by what their buckets hold beyond it.
-const leastBurst = 1.0
+// minBurst is the least capacity of a bucket. With less, nothing could ever be sent, as
+// without an allowance. A fleet with at least as many VMs as extra sends in its allowance
+// may exceed the limit by what its buckets hold beyond the allowance.
+const minBurst = 1.0
 
-// retryReserve is the part of the budget that hedges leave for work that was
-// refused or failed: without its retry such a request is lost, while without its
-// hedge it is only late. A quarter covers a tenth of failing upstreams at the
-// usual share of a fifth.
+// retryReserve is the part of the budget that hedges leave for retries: without its retry, a
+// refused or failed request is lost, while without its hedge a request is only late. A
+// quarter covers a tenth of failing upstreams at the usual ratio of a fifth.
 const retryReserve = 0.25
 
-// Kind is what an extra send is for.
+// Kind is the purpose of an extra send.
 type Kind int
 
-// Kinds.
+// Kinds of extra sends.
 const (
-	// Retry sends work again that has failed or was refused.
+	// Retry repeats a send that has failed or was refused.
 	Retry Kind = iota
-	// Hedge sends work again whose answer is late.
+	// Hedge duplicates a send whose answer is late.
 	Hedge
 )
 
-// Kinds is all of them.
+// Kinds lists all kinds.
 var Kinds = []Kind{Retry, Hedge}
 
-// Limit is the bound on all VMs together.
+// Limit is the limit on the extra sends of all VMs together.
 type Limit struct {
-	// Ratio is extra sends for each request.
+	// Ratio is the number of extra sends per request.
 	Ratio float64
-	// Window is the span that the bound holds for; the allowance flows in over it.
+	// Window is the period to which the limit applies and over which the allowance flows in.
 	Window time.Duration
-	// Allowance is extra sends in a window beside the ratio.
+	// Allowance is the number of extra sends per window on top of Ratio.
 	Allowance float64
 }
 
-// Budget is the bucket of one service on one VM. It is not safe for concurrent use.
+// Budget is one VM's token bucket for one service. It is not safe for concurrent use.
 type Budget struct {
 	limit Limit
 	// share is the VM's part of the allowance, 0 to 1.
 	share float64
-	// left is what is in the bucket; flowed is up to when the allowance has flowed in.
-	left   float64
-	flowed time.Time
+	// tokens is the content of the bucket as of refilledAt.
+	tokens     float64
+	refilledAt time.Time
 }
 
-// New is the bucket of a VM that has had its share since a time and has spent nothing
-// since then: empty at that time.
+// New returns the bucket of a VM that has had its share of the allowance since the given
+// time and has spent nothing: it was empty then and has filled since.
 func New(limit Limit, share float64, since time.Time) *Budget {
-	return &Budget{limit: limit, share: share, flowed: since}
+	return &Budget{limit: limit, share: share, refilledAt: since}
 }
 
-// SetLimit changes the ratio and the allowance.
+// SetLimit changes the limit.
 func (b *Budget) SetLimit(limit Limit) { b.limit = limit }
 
-// SetShare changes the VM's part of the allowance. What has flowed in until now is of the
-// former part: a VM that callers are moved to would else have at once what those spent
-// that they came from.
+// SetShare changes the VM's share of the allowance. What has flowed in until now is
+// computed with the former share: otherwise a VM that takes over callers would at once
+// hold the tokens that their former VMs have already spent.
 func (b *Budget) SetShare(now time.Time, share float64) {
-	b.flow(now)
+	b.refill(now)
 	b.share = share
 }
 
-// Request counts a request of a caller.
-func (b *Budget) Request() { b.left += b.limit.Ratio }
+// Request adds the ratio for one request of a caller.
+func (b *Budget) Request() { b.tokens += b.limit.Ratio }
 
-// Spend takes one extra send from the budget; false when it is used up.
+// Spend takes one extra send from the budget. It returns false if the budget is exhausted.
 func (b *Budget) Spend(now time.Time, kind Kind) bool {
 	if b.Left(now, kind) < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
 
-// Left is how many extra sends of a kind may be made now.
+// Left returns the number of extra sends of a kind that may be made now; it is negative for
+// a hedge if the bucket holds less than the reserve for retries.
 func (b *Budget) Left(now time.Time, kind Kind) float64 {
-	b.flow(now)
+	b.refill(now)
 	if kind == Hedge {
-		return b.left - retryReserve*(b.most()-leastBurst)
+		return b.tokens - retryReserve*(b.capacity()-minBurst)
 	}
-	return b.left
+	return b.tokens
 }
 
-// Full tells whether the bucket holds all that it may: a new one would hold no more.
+// Full reports whether the bucket is full, so that a new one could hold no more.
 func (b *Budget) Full(now time.Time) bool {
-	b.flow(now)
-	return b.left >= b.most()
+	b.refill(now)
+	return b.tokens >= b.capacity()
 }
 
-// most is what the bucket may hold.
-func (b *Budget) most() float64 { return max(leastBurst, burstShare*b.part()) }
+func (b *Budget) capacity() float64 { return max(minBurst, burstFraction*b.allowance()) }
 
-func (b *Budget) part() float64 { return b.limit.Allowance * b.share }
+// allowance returns the VM's own part of the allowance.
+func (b *Budget) allowance() float64 { return b.limit.Allowance * b.share }
 
-// flow lets in what the allowance has given since the last time.
-func (b *Budget) flow(now time.Time) {
-	if since := now.Sub(b.flowed); since > 0 && b.limit.Window > 0 {
-		b.left += (1 - burstShare) * b.part() * since.Seconds() / b.limit.Window.Seconds()
-		b.flowed = now
+// refill adds what has flowed in since the last refill, and cuts the content to the
+// capacity.
+func (b *Budget) refill(now time.Time) {
+	if elapsed := now.Sub(b.refilledAt); elapsed > 0 && b.limit.Window > 0 {
+		b.tokens += (1 - burstFraction) * b.allowance() * elapsed.Seconds() / b.limit.Window.Seconds()
+		b.refilledAt = now
 	}
-	b.left = min(b.left, b.most())
+	b.tokens = min(b.tokens, b.capacity())
 }
 
-// String is the kind's name in logs and metrics.
+// String returns the kind's name in logs and metrics.
 func (k Kind) String() string {
 	if k == Hedge {
 		return "hedge"
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -11,16 +11,16 @@
 
 var limit = Limit{Ratio: 0.2, Window: 10 * time.Second, Allowance: 60}
 
-// event is a request or an extra send, of all VMs together.
+// event is a request or an extra send of any VM.
 type event struct {
 	at    time.Time
 	extra bool
 }
 
-// within tells whether every sliding window of the events keeps the bound: its extra
-// sends against the requests of that window, of the one before it or of the one half
-// a window before, whichever has most.
-func within(events []event, l Limit) (time.Time, bool) {
+// withinLimit reports whether every sliding window of the events keeps the limit, and the start
+// of the first one that does not. The extra sends of a window are compared with the requests
+// of that window, of the one before it or of the one half a window before, whichever has most.
+func withinLimit(events []event, l Limit) (time.Time, bool) {
 	count := func(from time.Time, extra bool) float64 {
 		n := 0.0
 		for _, e := range events {
@@ -40,15 +40,12 @@
 	return time.Time{}, true
 }
 
-// Symptom: upstreams that slow down get more repeated work than the operators
-// allow, just when they can bear it least.
-// Sequence: callers move from VM to VM with what they send, and parts of the bounds after
-// them; processes die, are
-// replaced and spend anew, at times several times within a window; each spends all
-// that it may.
-// Cause: what a VM had earned in a window was spent in the next one, beside what the
-// VMs earned to which its callers had moved; or a part was spent twice.
-func TestTheFleetKeepsTheBound(t *testing.T) {
+// Guards against more extra sends than operators allow, at a time when upstreams are slow.
+// Callers move between VMs and shares of the allowance follow them; processes are replaced,
+// some several times within a window, and each VM spends all it has. The limit breaks if a VM
+// spends in one window what it earned in the window before, while the VMs that took over its
+// callers earn as well, or if a share is spent twice.
+func TestFleetKeepsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		vms := rapid.IntRange(1, 8).Draw(t, "vms")
 		budgets := make([]*Budget, vms)
@@ -84,35 +81,35 @@
 				}
 			}
 		}
-		if at, ok := within(events, limit); !ok {
-			t.Fatalf("the window from %v holds too many extra sends", at.Sub(start))
+		if at, ok := withinLimit(events, limit); !ok {
+			t.Fatalf("too many extra sends in the window that starts at %v", at.Sub(start))
 		}
 	})
 }
 
-// A process that starts does not know what its predecessor on the VM has spent: it
-// has what its own requests earn, and no more than a bucket of it.
-func TestANewProcessHasWhatItEarns(t *testing.T) {
+// A new process does not know what its predecessor on the VM has spent: it starts with an
+// empty bucket and may spend only what its own requests earn, up to the bucket's capacity.
+func TestNewProcessStartsEmpty(t *testing.T) {
 	b := New(limit, 1, start)
 	if b.Spend(start, Retry) {
-		t.Error("spent what a predecessor may have spent")
+		t.Error("an extra send from an empty bucket")
 	}
 	for range 5 {
 		b.Request()
 	}
 	if !b.Spend(start, Retry) || b.Spend(start, Retry) {
-		t.Error("five requests earn one extra send at a ratio of a fifth")
+		t.Error("want one extra send for five requests at a ratio of a fifth")
 	}
 	for range 10_000 {
 		b.Request()
 	}
 	b.SetShare(start, 0.1)
 	if left := b.Left(start, Retry); left != 3 {
-		t.Errorf("%v left with a tenth of the allowance of 60, half of which is held", left)
+		t.Errorf("%v left with a tenth of the allowance of 60, want half of that", left)
 	}
 }
 
-func TestHedgesLeaveSomeForRetries(t *testing.T) {
+func TestHedgesLeaveReserveForRetries(t *testing.T) {
 	b := New(limit, 1, start)
 	for range 1000 {
 		b.Request()
@@ -129,8 +126,8 @@
 	}
 }
 
-// Where there is no allowance, requests still earn single extra sends.
-func TestWithoutAnAllowanceOneMayBeSaved(t *testing.T) {
+// Without an allowance, requests still earn single extra sends.
+func TestBucketHoldsOneWithoutAllowance(t *testing.T) {
 	b := New(Limit{Ratio: 0.5}, 1, start)
 	for range 10 {
 		b.Request()
@@ -140,34 +137,31 @@
 	}
 }
 
-// Symptom: when a service is new, or callers have just come, answers leave parts out and
-// hedges are refused for lack of a budget that nobody has spent.
-// Sequence: a VM has run for a while; then it sends to a service for the first time.
-// Cause: the bucket was taken for empty when it was first used, and not since when the VM
-// has had its part.
-func TestABucketFillsBeforeItIsUsed(t *testing.T) {
+// Guards against partial answers and refused hedges for lack of budget although none was
+// spent. When a VM that has run for a while sends to a service for the first time, the bucket
+// must have filled since the VM got its share, not since its first use.
+func TestBucketFillsBeforeFirstUse(t *testing.T) {
 	b := New(limit, 0.5, start)
 	now := start.Add(20 * time.Second)
 	if left := b.Left(now, Retry); left != 15 {
 		t.Errorf("%v left of a bucket of 15 after 20 s", left)
 	}
 	if !b.Full(now) || !b.Spend(now, Retry) || b.Full(now) {
-		t.Error("want it full until something is spent")
+		t.Error("want it full until a token is spent")
 	}
 }
 
-// Symptom: upstreams get more repeated work than is allowed when callers are moved.
-// Sequence: the carriers of a fleet spend their buckets and are lost; others, which have
-// had a small part, become carriers and spend at once.
-// Cause: their buckets were filled as if they had had the large part all the while.
-func TestANewCarrierHasNotWhatTheFormerOnesSpent(t *testing.T) {
+// Guards against more extra sends than allowed when callers move. The VMs that carry most of
+// the load spend their buckets and are lost; VMs with small shares take over. Their buckets
+// must not be filled as if they had always had the large share.
+func TestRaisedShareDoesNotFillBucket(t *testing.T) {
 	b := New(limit, 0.01, start)
 	now := start.Add(time.Minute)
 	b.SetShare(now, 0.5)
-	if left := b.Left(now, Retry); left > leastBurst {
+	if left := b.Left(now, Retry); left > minBurst {
 		t.Errorf("%v left at once", left)
 	}
 	if left := b.Left(now.Add(5*time.Second), Retry); left < 7 || left > 9 {
-		t.Errorf("%v left after half a window, want about a quarter of the part of 30 more", left)
+		t.Errorf("%v left after half a window, want about a quarter of the share of 30 more", left)
 	}
 }
