--- a/internal/latency/tracker.go
+++ b/internal/latency/tracker.go
@@ -1,6 +1,6 @@
-// Package latency keeps what an upstream's answer times have been: a decaying
-// histogram for the tail, from which the hedge delay is read, and a weighted
-// mean for the choice between replicas. It is pure: the time is handed in.
+// Package latency records answer times: a decaying histogram for quantiles, such as the tail
+// that sets the hedge delay, and an exponentially weighted mean for the choice between
+// replicas. It reads no clock; callers pass the time.
 package latency
 
 import (
@@ -16,64 +16,66 @@
 )
 
 const (
-	// memory is the weight of answers that the histogram holds at most: twice
-	// the answers after which the past counts half.
-	memory = 128
+	// maxWeight is the largest total weight of the histogram: twice the number of answers
+	// after which older ones count half.
+	maxWeight = 128
 	// halfLife is the age at which an observation counts half.
 	halfLife = 10 * time.Second
-	// meanShare is the least weight of a new observation in the mean.
-	meanShare = 1.0 / 8
-	// boundFactor is what a withdrawn attempt is taken to have needed, as a
-	// multiple of the time it was given.
-	boundFactor = 2
-	// faded is the weight below which nothing is known any more.
-	faded = 0.01
+	// minMeanAlpha is the least weight of a new observation in the mean.
+	minMeanAlpha = 1.0 / 8
+	// censoredFactor is the assumed duration of a withdrawn attempt, as a multiple of the
+	// time after which it was withdrawn.
+	censoredFactor = 2
+	// minBucketWeight is the weight below which a bucket is emptied.
+	minBucketWeight = 0.01
 )
 
-// Tracker is one upstream's answer times. It is not safe for concurrent use.
+// Tracker holds observed answer times, for example those of one upstream. The zero value is
+// empty. It is not safe for concurrent use.
 type Tracker struct {
-	// answered and withdrawn are weights by bucket; a withdrawn attempt is
-	// known only to have needed longer than its bucket.
+	// answered and withdrawn are weights by bucket. A withdrawn attempt is a censored
+	// observation: it would have taken longer than its bucket says.
 	answered  [buckets]float32
 	withdrawn [buckets]float32
 	total     float64
 	mean      float64
-	last      time.Time
+	// decayedAt is the time up to which the weights have been decayed.
+	decayedAt time.Time
 }
 
 // Observe adds the time of one answer.
 func (t *Tracker) Observe(now time.Time, d time.Duration) {
-	t.addMean(now, float64(d))
-	t.fade(now)
+	t.updateMean(now, float64(d))
+	t.decay(now)
 	t.answered[bucket(d)]++
-	t.added()
+	t.increment()
 }
 
 // ObserveAtLeast adds an attempt that was withdrawn after d without an answer.
 //
-// An upstream whose every attempt loses to a hedge never answers in time. Were
-// only answers counted it would stay unknown, look as good as its peers and be
-// chosen again and again, each time at the cost of a hedge.
+// An upstream that loses every attempt to a hedge never answers in time. If only answers
+// counted, it would stay unknown, look as fast as its peers and be chosen again and again,
+// each time at the cost of a hedge.
 func (t *Tracker) ObserveAtLeast(now time.Time, d time.Duration) {
-	t.addMean(now, math.Max(t.mean, boundFactor*float64(d)))
-	t.fade(now)
+	t.updateMean(now, math.Max(t.mean, censoredFactor*float64(d)))
+	t.decay(now)
 	t.withdrawn[bucket(d)]++
-	t.added()
+	t.increment()
 }
 
-// Weight is how many observations are remembered, each less with its age.
+// Weight returns the number of observations, each weighted by its age.
 func (t *Tracker) Weight(now time.Time) float64 {
-	return t.total * t.fading(now)
+	return t.total * t.decayFactor(now)
 }
 
-// Mean is the weighted mean answer time; 0 when nothing was observed.
+// Mean returns the weighted mean answer time, 0 without observations.
 func (t *Tracker) Mean() time.Duration {
 	return time.Duration(t.mean)
 }
 
-// Quantile is an upper bound of the q-quantile; 0 when nothing was observed. It
-// is the product-limit (Kaplan-Meier) estimate, in which a withdrawn attempt
-// counts as one that was still running when it was withdrawn.
+// Quantile returns an upper bound of the q-quantile, 0 without observations. It is the
+// product-limit (Kaplan-Meier) estimate, which counts a withdrawn attempt as still running
+// when it was withdrawn.
 func (t *Tracker) Quantile(q float64) time.Duration {
 	if t.total == 0 {
 		return 0
@@ -85,68 +87,69 @@
 		if t.answered[i] > 0 {
 			surviving *= 1 - float64(t.answered[i])/atRisk
 		}
-		if surviving <= 1-q+rounding {
-			return upper(i)
+		if surviving <= 1-q+epsilon {
+			return upperBound(i)
 		}
 		if t.answered[i]+t.withdrawn[i] > 0 {
 			last = i
 		}
 		atRisk -= float64(t.answered[i] + t.withdrawn[i])
 	}
-	return boundFactor * upper(last)
+	return censoredFactor * upperBound(last)
 }
 
-// rounding absorbs the error of the weights' sums.
-const rounding = 1e-6
+// epsilon absorbs the rounding error of summed weights.
+const epsilon = 1e-6
 
-func (t *Tracker) addMean(now time.Time, d float64) {
+func (t *Tracker) updateMean(now time.Time, d float64) {
 	if t.total == 0 {
 		t.mean = d
 		return
 	}
-	share := math.Max(meanShare, 1-t.fading(now))
-	t.mean += share * (d - t.mean)
+	alpha := math.Max(minMeanAlpha, 1-t.decayFactor(now))
+	t.mean += alpha * (d - t.mean)
 }
 
-func (t *Tracker) added() {
+// increment adds one observation to the total and halves all weights if it gets too large.
+func (t *Tracker) increment() {
 	t.total++
-	if t.total > memory {
+	if t.total > maxWeight {
 		t.scale(0.5)
 	}
 }
 
-// fade lets the observations age up to now.
-func (t *Tracker) fade(now time.Time) {
+// decay scales the weights by the time since the last decay, at most once per step.
+func (t *Tracker) decay(now time.Time) {
 	const step = halfLife / 10
-	if t.last.IsZero() {
-		t.last = now
+	if t.decayedAt.IsZero() {
+		t.decayedAt = now
 	}
-	if now.Sub(t.last) < step {
+	if now.Sub(t.decayedAt) < step {
 		return
 	}
-	t.scale(t.fading(now))
-	t.last = now
+	t.scale(t.decayFactor(now))
+	t.decayedAt = now
 }
 
-// fading is the factor by which the weights have shrunk since they were kept.
-func (t *Tracker) fading(now time.Time) float64 {
-	if t.last.IsZero() || !now.After(t.last) {
+// decayFactor returns the factor by which the weights have decayed since decayedAt.
+func (t *Tracker) decayFactor(now time.Time) float64 {
+	if t.decayedAt.IsZero() || !now.After(t.decayedAt) {
 		return 1
 	}
-	return math.Exp2(-float64(now.Sub(t.last)) / float64(halfLife))
+	return math.Exp2(-float64(now.Sub(t.decayedAt)) / float64(halfLife))
 }
 
 func (t *Tracker) scale(factor float64) {
 	t.total = 0
 	for i := range t.answered {
-		t.answered[i] = shrink(t.answered[i], float32(factor))
-		t.withdrawn[i] = shrink(t.withdrawn[i], float32(factor))
+		t.answered[i] = scaleWeight(t.answered[i], float32(factor))
+		t.withdrawn[i] = scaleWeight(t.withdrawn[i], float32(factor))
 		t.total += float64(t.answered[i] + t.withdrawn[i])
 	}
 }
 
-func shrink(weight, factor float32) float32 {
-	if weight *= factor; weight > faded {
+func scaleWeight(weight, factor float32) float32 {
+	if weight *= factor; weight > minBucketWeight {
 		return weight
 	}
 	return 0
@@ -160,6 +163,6 @@
 	return min(i, buckets-1)
 }
 
-func upper(i int) time.Duration {
+func upperBound(i int) time.Duration {
 	return time.Duration(float64(base) * math.Exp2(float64(i)/perDouble))
 }
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,6 +1,6 @@
-// Package retry bounds the extra load that hedges and retries add. Both have a
-// budget that first sub-requests earn: with every upstream failing, the extra
-// load stays at the contracted percentage.
+// Package retry limits the extra load of hedges and retries. First sub-requests earn a
+// budget that hedges and retries spend, so that the extra load stays at the contracted
+// percentage even when every upstream fails.
 package retry
 
 import "math"
@@ -8,20 +8,20 @@
 // burst is how many extra sub-requests an idle budget may hold.
 const burst = 10
 
-// unit is one sub-request. Budgets count in parts of it and not in floating
-// point, whose rounding would let the spent exceed the earned in the long run.
+// unit is the number of tokens for one sub-request. Tokens are integers because the rounding
+// of floating point would let spending exceed earnings in the long run.
 const unit = 1_000_000
 
-// Budget is one budget. It is not safe for concurrent use.
+// Budget is a token bucket. It is not safe for concurrent use.
 type Budget struct {
 	tokens  int64
 	percent float64
-	// earned is what one first sub-request allows.
+	// earned is the number of tokens that one first sub-request adds.
 	earned int64
 }
 
-// NewBudget starts full, so that the first stragglers can be hedged; a budget
-// of no percent holds nothing.
+// NewBudget returns a full budget, so that the first late sub-requests can be hedged; with a
+// percentage of 0 it is empty.
 func NewBudget(percent float64) *Budget {
 	b := &Budget{}
 	b.SetPercent(percent)
@@ -31,7 +31,7 @@
 	return b
 }
 
-// SetPercent follows a change of the contract.
+// SetPercent changes the contracted percentage of extra sub-requests.
 func (b *Budget) SetPercent(percent float64) {
 	if percent == b.percent {
 		return
@@ -43,8 +43,8 @@
 	}
 }
 
-// Earn adds what n first sub-requests allow. An idle budget holds no more than
-// a burst, or what the n sub-requests allow by themselves.
+// Earn adds the tokens for n first sub-requests. It fills the budget up to a burst plus
+// these tokens; a budget that holds more is left as it is.
 func (b *Budget) Earn(n int) {
 	earned := int64(n) * b.earned
 	if earned == 0 {
@@ -53,7 +53,7 @@
 	b.tokens = min(b.tokens+earned, max(b.tokens, burst*unit+earned))
 }
 
-// Spend takes one extra sub-request; false means that the budget is used up.
+// Spend takes one extra sub-request. It returns false if the budget is exhausted.
 func (b *Budget) Spend() bool {
 	if b.tokens < unit {
 		return false
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -138,8 +138,9 @@
 }
 
 // Guards against partial answers and refused hedges for lack of budget although none was
-// spent. When a VM that has run for a while sends to a service for the first time, the bucket
-// must have filled since the VM got its share, not since its first use.
+// spent, when a service is new or callers have just moved. If a VM that has run for a while
+// sends to a service for the first time, the bucket must have filled since the VM got its
+// share, not since its first use.
 func TestBucketFillsBeforeFirstUse(t *testing.T) {
 	b := New(limit, 0.5, start)
 	now := start.Add(20 * time.Second)
