--- a/internal/scatter/isolation.go
+++ b/internal/scatter/isolation.go
@@ -1,49 +1,53 @@
 package scatter
 
-// noteIsolation takes in what the end of a send says of the request itself.
-func (q *Query) noteIsolation(a *attempt) {
+// updateIsolation updates the isolation of the query with the result of a send.
+func (q *Query) updateIsolation(a *attempt) {
 	switch {
 	case a.result.Survived():
 		q.isolation.Survived()
 	case a.result == Broken:
-		q.isolation.Crashed(a.alone)
+		q.isolation.Crashed(a.isolated)
 	case a.result == Refused:
-		q.isolation.Refused(a.alone)
+		q.isolation.Refused(a.isolated)
 	case a.result.Reached():
-		q.isolation.Unanswered(a.alone)
+		q.isolation.Unanswered(a.isolated)
 	}
 }
 
-// holds tells whether a further send has to wait.
-func (q *Query) holds() bool { return q.isolation.Active() && (q.open > 0 || q.isolation.Exhausted()) }
+// mustHold reports whether a further send must be held back: an isolated query has one send
+// open at a time, and none once its isolation is exhausted.
+func (q *Query) mustHold() bool {
+	return q.isolation.Active() && (q.open > 0 || q.isolation.Exhausted())
+}
 
-// release makes the sends that were held back, as far as they may be made now.
-func (q *Query) release() {
-	if q.verdict != nil {
+// releaseHeld makes the held sends that may be made now. It gives up their parts if no more
+// sends may be made.
+func (q *Query) releaseHeld() {
+	if q.outcome != nil {
 		return
 	}
 	for i := range q.parts {
 		p := &q.parts[i]
 		switch {
-		case p.heldFor == "":
+		case p.heldCause == "":
 		case p.ended():
-			p.heldFor = ""
+			p.heldCause = ""
 		case q.isolation.Exhausted():
-			p.heldFor = ""
+			p.heldCause = ""
 			q.giveUp(i)
-		case !q.holds():
-			q.unhold(i)
+		case !q.mustHold():
+			q.sendHeld(i)
 		}
 	}
 }
 
-func (q *Query) unhold(i int) {
+func (q *Query) sendHeld(i int) {
 	p := &q.parts[i]
-	cause := p.heldFor
-	p.heldFor = ""
+	cause := p.heldCause
+	p.heldCause = ""
 	if cause == First {
-		q.send(i)
+		q.sendFirst(i)
 		return
 	}
-	q.again(i, cause)
+	q.resend(i, cause)
 }
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -1,8 +1,7 @@
-// Package scatter decides the course of one request: where its parts are sent,
-// when one is sent again or hedged, when to stop waiting, and what the caller
-// gets. A plain request is a query of one part. A Query is pure: it is stepped
-// with the time and with outcomes, and returns the sends to make; internal/edge
-// drives it.
+// Package scatter is the state machine of one request: to which upstreams its parts are sent,
+// when a part is retried or hedged, when to stop waiting, and how the request ends. A plain
+// request is a query of one part. A Query does no I/O and reads no clock: each step takes the
+// time, and possibly a result, and returns the sends to make. Package edge makes them.
 package scatter
 
 import (
@@ -14,58 +13,59 @@
 )
 
 const (
-	// lateGrace is how long an answer that is late already waits for the parts
-	// that its floor does not need: a quarter of the time in which users notice
-	// a delay (about 400 ms).
+	// lateGrace is how long an answer that is already late waits for the parts beyond the
+	// minimum: a quarter of the time after which users notice a delay (about 400 ms).
 	lateGrace = 100 * time.Millisecond
-	// hedgeAgain is the pause before a hedge that the budget refused is asked
-	// for again: a slice of the budget's window at the usual size lasts longer,
-	// so that asking more often would gain nothing.
-	hedgeAgain = 25 * time.Millisecond
-	// refusedPause is the first wait before a part that every upstream refused or
-	// was full for is offered again; it doubles. A slot of a full upstream frees about that
-	// often.
-	refusedPause = 20 * time.Millisecond
-	// maxRefused is how often one part may be refused before it is given up.
-	maxRefused = 5
-	// minUseful is the least time left in which an answer can still arrive: the
-	// way to the caller and back in one region.
-	minUseful = 5 * time.Millisecond
+	// hedgeRetryInterval is the wait before a hedge that the budget refused is tried again.
+	// At the usual size, the budget needs longer than that to allow one more, so that more
+	// frequent tries would gain nothing.
+	hedgeRetryInterval = 25 * time.Millisecond
+	// refusalBackoff is the first wait before a part is sent again after every upstream
+	// refused it or was full; it doubles each time. A slot of a full upstream frees about
+	// that often.
+	refusalBackoff = 20 * time.Millisecond
+	// maxRefusals is how often a part may be refused before it is given up.
+	maxRefusals = 5
+	// minRemaining is the least time before the deadline in which a hedge can still be of
+	// use: a round trip to the caller within one region.
+	minRemaining = 5 * time.Millisecond
 )
 
-// attempt is one send and how it ended.
+// attempt is one send and its result.
 type attempt struct {
 	part   int
 	ended  bool
 	result Result
-	// alone says that it was sent while the query was isolated.
-	alone bool
+	// isolated is set if the query was isolated when it made the send.
+	isolated bool
 }
 
 // part is the state of one part.
 type part struct {
+	// answer and failure are indexes of attempts, -1 for none.
 	answer  int
 	failure int
-	given   bool
+	givenUp bool
 	open    int
 	// mayHaveRun counts the sends that are not proved not run.
 	mayHaveRun int
-	// shut counts the sends that were shut out.
+	// shut counts the sends with the result Shut.
 	shut    int
 	refused int
-	tried   []string
-	// hedgeAt and againAt are zero when nothing is planned; againFor is why a send
-	// is planned at againAt.
-	hedgeAt  time.Time
-	againAt  time.Time
-	againFor Cause
-	// heldFor is why a send is held back, empty when none is.
-	heldFor Cause
+	// tried holds the ids of the upstreams tried since the last backoff.
+	tried []string
+	// hedgeAt and retryAt are zero if nothing is scheduled; retryCause is the cause of the
+	// send scheduled at retryAt.
+	hedgeAt    time.Time
+	retryAt    time.Time
+	retryCause Cause
+	// heldCause is the cause of the send that is held back, empty for none.
+	heldCause Cause
 }
 
-func (p *part) ended() bool { return p.answer >= 0 || p.given }
+func (p *part) ended() bool { return p.answer >= 0 || p.givenUp }
 
-// Query is the course of one request. It is not safe for concurrent use.
+// Query is the state of one request. It is not safe for concurrent use.
 type Query struct {
 	plan      Plan
 	policy    Policy
@@ -75,14 +75,15 @@
 	failed    int
 	open      int
 	isolation quarantine.Isolation
-	// floorAt is when enough parts had come, zero before.
-	floorAt time.Time
+	// minReachedAt is when MinParts parts were answered, zero before.
+	minReachedAt time.Time
+	// now and sends are the time of the current step and the sends it makes.
 	now     time.Time
-	out     []Send
-	verdict *Verdict
+	sends   []Send
+	outcome *Verdict
 }
 
-// New is a query that has sent nothing.
+// New returns a query that has sent nothing.
 func New(plan Plan, policy Policy) *Query {
 	q := &Query{plan: plan, policy: policy, parts: make([]part, len(plan.Services)), isolation: quarantine.Isolation{Trial: plan.Trial}}
 	for i := range q.parts {
@@ -92,27 +93,27 @@
 	return q
 }
 
-// Start sends each part once. Nothing is sent when too few parts have an upstream
-// that can be reached: the caller then learns at once that nothing has run, and
-// when to come back, in place of a failure of which it can make nothing.
+// Start sends each part once. It ends the query at once if too few parts have a reachable
+// upstream: the caller then learns that nothing has run and when to retry, instead of
+// getting a failure after other parts have run.
 func (q *Query) Start(now time.Time) []Send {
-	q.begin(now)
-	if !q.hopeful() {
+	q.beginStep(now)
+	if !q.canMeetMinimum() {
 		q.finish(NoUpstream)
 		return nil
 	}
 	for i := range q.parts {
-		if q.holds() {
-			q.parts[i].heldFor = First
+		if q.mustHold() {
+			q.parts[i].heldCause = First
 			continue
 		}
-		q.send(i)
+		q.sendFirst(i)
 	}
-	return q.end()
+	return q.endStep()
 }
 
-// hopeful tells whether enough parts have an upstream that can be reached.
-func (q *Query) hopeful() bool {
+// canMeetMinimum reports whether at least MinParts parts have a reachable upstream.
+func (q *Query) canMeetMinimum() bool {
 	reachable := 0
 	for i := range q.parts {
 		if q.policy.Reachable(i) {
@@ -122,95 +123,95 @@
 	return reachable >= q.plan.MinParts
 }
 
-// Ended takes in how a send ended. A result of a part that has its answer
-// changes nothing.
+// Ended records the result of attempt n. Results for a part that has already ended do not
+// change its answer.
 func (q *Query) Ended(now time.Time, n int, r Result) []Send {
-	q.begin(now)
+	q.beginStep(now)
 	a := &q.attempts[n]
 	if a.ended {
-		return q.end()
+		return q.endStep()
 	}
 	a.ended = true
 	a.result = r
 	p := &q.parts[a.part]
 	p.open--
 	q.open--
-	q.noteIsolation(a)
+	q.updateIsolation(a)
 	if r.NotRun() {
 		p.mayHaveRun--
 	}
 	if !p.ended() {
-		q.take(n, r)
+		q.handleResult(n, r)
 	}
-	return q.end()
+	return q.endStep()
 }
 
-// Tick lets time pass.
+// Tick makes the retries and hedges that are due, and ends the query when its time is up.
 func (q *Query) Tick(now time.Time) []Send {
-	q.begin(now)
+	q.beginStep(now)
 	for i := range q.parts {
 		p := &q.parts[i]
-		if p.ended() || p.heldFor != "" {
+		if p.ended() || p.heldCause != "" {
 			continue
 		}
-		if due(p.againAt, now) {
-			p.againAt = time.Time{}
+		if due(p.retryAt, now) {
+			p.retryAt = time.Time{}
 			p.tried = p.tried[:0]
-			q.again(i, p.againFor)
+			q.resend(i, p.retryCause)
 		}
 		if due(p.hedgeAt, now) {
 			q.hedge(i)
 		}
 	}
-	return q.end()
+	return q.endStep()
 }
 
-// Next is when Tick is due.
+// Next returns when Tick must be called next.
 func (q *Query) Next() time.Time {
 	next := q.plan.GiveUp
-	if q.enough() {
-		next = earlier(next, q.answerAt())
+	if q.hasMinimum() {
+		next = earlier(next, q.partialAnswerAt())
 	}
 	for i := range q.parts {
 		p := &q.parts[i]
-		if p.ended() || p.heldFor != "" {
+		if p.ended() || p.heldCause != "" {
 			continue
 		}
 		next = earlier(next, p.hedgeAt)
-		next = earlier(next, p.againAt)
+		next = earlier(next, p.retryAt)
 	}
 	return next
 }
 
-// Verdict is how the request ended, nil while it is under way.
-func (q *Query) Verdict() *Verdict { return q.verdict }
+// Verdict returns how the request ended, nil while it is in progress.
+func (q *Query) Verdict() *Verdict { return q.outcome }
 
-func (q *Query) begin(now time.Time) {
+func (q *Query) beginStep(now time.Time) {
 	q.now = now
-	q.out = nil
+	q.sends = nil
 }
 
-func (q *Query) end() []Send {
-	q.release()
-	q.settle()
-	if q.verdict != nil {
+func (q *Query) endStep() []Send {
+	q.releaseHeld()
+	q.finishIfDone()
+	if q.outcome != nil {
 		return nil
 	}
-	out := q.out
-	q.out = nil
+	out := q.sends
+	q.sends = nil
 	return out
 }
 
-// take acts on a result of a part without an answer.
-func (q *Query) take(n int, r Result) {
+// handleResult processes the result of attempt n for a part that has not ended.
+func (q *Query) handleResult(n int, r Result) {
 	i := q.attempts[n].part
 	p := &q.parts[i]
 	switch r {
 	case Answered:
 		p.answer = n
 		q.answered++
-		if q.enough() && q.floorAt.IsZero() {
-			q.floorAt = q.now
+		if q.hasMinimum() && q.minReachedAt.IsZero() {
+			q.minReachedAt = q.now
 		}
 		return
 	case Failed:
@@ -226,56 +227,57 @@
 		p.refused++
 		p.shut++
 	}
-	q.again(i, causeOf(r))
+	q.resend(i, causeOf(r))
 }
 
 func causeOf(r Result) Cause {
 	switch r {
 	case Unreached:
-		return AfterUnreach
+		return AfterUnreached
 	case Refused:
 		return AfterRefusal
 	case Shut, NoConnection:
 		return AfterFull
 	case Barred:
-		return AfterBar
+		return AfterBarred
 	default:
 		return AfterFailure
 	}
 }
 
-// again sends a part once more after a send that brought no answer. While
-// another send of the part is open, that one is waited for.
-func (q *Query) again(i int, cause Cause) {
+// resend sends a part again after a send without an answer. If the part may be sent only
+// later, it schedules or holds the send; if it may not be sent again and no other send of it
+// is open, it gives up the part.
+func (q *Query) resend(i int, cause Cause) {
 	p := &q.parts[i]
 	if p.open > 0 && cause == AfterFailure && !q.mayRunAgain(p) {
 		return
 	}
-	if q.holds() {
-		p.heldFor = cause
+	if q.mustHold() {
+		p.heldCause = cause
 		return
 	}
-	if q.trySend(i, cause) || p.open > 0 {
+	if q.tryResend(i, cause) || p.open > 0 {
 		return
 	}
-	if q.mayRunAgain(p) && p.refused > 0 && p.refused < maxRefused {
-		p.againAt = q.now.Add(refusedPause << (p.refused - 1))
-		p.againFor = cause
-		if p.againAt.Before(q.plan.GiveUp) {
+	if q.mayRunAgain(p) && p.refused > 0 && p.refused < maxRefusals {
+		p.retryAt = q.now.Add(refusalBackoff << (p.refused - 1))
+		p.retryCause = cause
+		if p.retryAt.Before(q.plan.GiveUp) {
 			return
 		}
 	}
 	q.giveUp(i)
 }
 
-// free tells whether a further send costs no budget: the one before it reached no
-// upstream, or was shut out, so that no upstream read it.
-func (c Cause) free() bool { return c == AfterUnreach || c == AfterFull || c == AfterBar }
+// free reports whether a further send costs no budget: no upstream has read the previous
+// one, because it did not reach an upstream or its connection was closed at once.
+func (c Cause) free() bool { return c == AfterUnreached || c == AfterFull || c == AfterBarred }
 
-// trySend sends a part again when the rules and the budget allow it.
-func (q *Query) trySend(i int, cause Cause) bool {
+// tryResend sends a part again if the limits and the budget allow it.
+func (q *Query) tryResend(i int, cause Cause) bool {
 	p := &q.parts[i]
-	if !q.mayRunAgain(p) || p.refused >= maxRefused {
+	if !q.mayRunAgain(p) || p.refused >= maxRefusals {
 		return false
 	}
 	u := q.policy.Choose(i, p.tried)
@@ -285,11 +287,11 @@
 	if !cause.free() && !q.policy.Spend(i, retrybudget.Retry) {
 		return false
 	}
-	q.put(i, u, cause)
+	q.addSend(i, u, cause)
 	return true
 }
 
-// mayRunAgain tells whether one more upstream may run the part.
+// mayRunAgain reports whether one more upstream may run the part.
 func (q *Query) mayRunAgain(p *part) bool {
 	if p.mayHaveRun == 0 {
 		return true
@@ -297,19 +299,20 @@
 	return q.plan.Idempotent && p.mayHaveRun-p.shut < q.plan.Attempts
 }
 
-func (q *Query) send(i int) {
+func (q *Query) sendFirst(i int) {
 	u := q.policy.Choose(i, nil)
 	if u == nil {
 		q.giveUp(i)
 		return
 	}
-	q.put(i, u, First)
+	q.addSend(i, u, First)
 }
 
-func (q *Query) put(i int, u *catalog.Upstream, cause Cause) {
+// addSend adds a send of a part to the current step and schedules its hedge.
+func (q *Query) addSend(i int, u *catalog.Upstream, cause Cause) {
 	p := &q.parts[i]
 	n := len(q.attempts)
-	q.attempts = append(q.attempts, attempt{part: i, alone: q.isolation.Active()})
+	q.attempts = append(q.attempts, attempt{part: i, isolated: q.isolation.Active()})
 	p.tried = append(p.tried, u.ID)
 	p.open++
 	q.open++
@@ -318,18 +321,18 @@
 	if q.mayRunAgain(p) {
 		p.hedgeAt = q.now.Add(q.policy.HedgeDelay(i, u))
 	}
-	q.out = append(q.out, Send{Attempt: n, Part: i, Upstream: u, Cause: cause})
+	q.sends = append(q.sends, Send{Attempt: n, Part: i, Upstream: u, Cause: cause})
 }
 
-// hedge sends a part whose answer is late to another upstream as well.
+// hedge also sends a part whose answer is late to another upstream.
 func (q *Query) hedge(i int) {
 	p := &q.parts[i]
 	p.hedgeAt = time.Time{}
 	if q.isolation.Active() {
-		p.hedgeAt = q.now.Add(hedgeAgain)
+		p.hedgeAt = q.now.Add(hedgeRetryInterval)
 		return
 	}
-	if !q.mayRunAgain(p) || q.plan.GiveUp.Sub(q.now) < minUseful {
+	if !q.mayRunAgain(p) || q.plan.GiveUp.Sub(q.now) < minRemaining {
 		return
 	}
 	u := q.policy.Choose(i, p.tried)
@@ -337,49 +340,51 @@
 		return
 	}
 	if !q.policy.Spend(i, retrybudget.Hedge) {
-		p.hedgeAt = q.now.Add(hedgeAgain)
+		p.hedgeAt = q.now.Add(hedgeRetryInterval)
 		return
 	}
-	q.put(i, u, BecauseIsLate)
+	q.addSend(i, u, Hedge)
 }
 
 // giveUp ends a part without an answer.
 func (q *Query) giveUp(i int) {
-	q.parts[i].given = true
+	q.parts[i].givenUp = true
 	q.failed++
 }
 
-func (q *Query) enough() bool { return q.answered >= q.plan.MinParts }
+// hasMinimum reports whether at least MinParts parts are answered.
+func (q *Query) hasMinimum() bool { return q.answered >= q.plan.MinParts }
 
-// answerAt is when an answer that has its floor leaves without the rest.
-func (q *Query) answerAt() time.Time {
-	if late := q.floorAt.Add(lateGrace); q.floorAt.After(q.plan.AnswerBy) {
+// partialAnswerAt returns when an answer with the minimum of parts stops waiting for the
+// others.
+func (q *Query) partialAnswerAt() time.Time {
+	if late := q.minReachedAt.Add(lateGrace); q.minReachedAt.After(q.plan.AnswerBy) {
 		return late
 	}
 	return q.plan.AnswerBy
 }
 
-// settle ends the request when nothing better can come in time.
-func (q *Query) settle() {
-	if q.verdict != nil {
+// finishIfDone ends the request when waiting longer cannot improve its outcome in time.
+func (q *Query) finishIfDone() {
+	if q.outcome != nil {
 		return
 	}
 	ended := q.answered + q.failed
 	switch {
-	case q.answered == len(q.parts), q.enough() && ended == len(q.parts):
+	case q.answered == len(q.parts), q.hasMinimum() && ended == len(q.parts):
 		q.finish(None)
-	case q.enough() && !q.now.Before(q.answerAt()):
+	case q.hasMinimum() && !q.now.Before(q.partialAnswerAt()):
 		q.finish(None)
 	case len(q.parts)-q.failed < q.plan.MinParts:
-		q.finish(q.failure())
+		q.finish(q.failureReason())
 	case !q.now.Before(q.plan.GiveUp):
 		q.finish(TimedOut)
 	}
 }
 
-// failure is why too few parts can come.
-func (q *Query) failure() Reason {
-	if len(q.attempts) == len(q.out) {
+// failureReason returns why the minimum of parts cannot be met.
+func (q *Query) failureReason() Reason {
+	if len(q.attempts) == len(q.sends) {
 		return NoUpstream
 	}
 	if q.notRun() {
@@ -392,8 +397,8 @@
 }
 
 func (q *Query) finish(r Reason) {
-	// What this step would have sent is not sent any more.
-	for _, s := range q.out {
+	// The sends of the current step are not made.
+	for _, s := range q.sends {
 		q.attempts[s.Attempt].ended = true
 		q.attempts[s.Attempt].result = Unreached
 	}
@@ -402,10 +407,10 @@
 		v.Parts[i] = q.parts[i].answer
 		v.Failure = max(v.Failure, q.parts[i].failure)
 	}
-	q.verdict = v
+	q.outcome = v
 }
 
-// notRun tells whether every send is proved not run.
+// notRun reports whether every send is proved not run.
 func (q *Query) notRun() bool {
 	for i := range q.attempts {
 		if a := &q.attempts[i]; !a.ended || !a.result.NotRun() {
@@ -417,7 +422,7 @@
 
 func due(at, now time.Time) bool { return !at.IsZero() && !now.Before(at) }
 
-// earlier is the earlier of two times; zero is none.
+// earlier returns the earlier of two times; a zero time means none.
 func earlier(a, b time.Time) time.Time {
 	if b.IsZero() || !a.IsZero() && a.Before(b) {
 		return a
--- a/internal/scatter/types.go
+++ b/internal/scatter/types.go
@@ -10,119 +10,121 @@
 // Result is how one send ended.
 type Result int
 
-// Results.
+// Results of a send.
 const (
-	// Answered is a whole, valid answer.
+	// Answered: a complete, valid answer arrived.
 	Answered Result = iota
-	// Unreached was never given to the upstream: nothing arrived there.
+	// Unreached: nothing arrived at the upstream.
 	Unreached
-	// Refused arrived, and the upstream states that it has not run it.
+	// Refused: the upstream states that it has not run the request.
 	Refused
-	// Failed ran, and the upstream answered with a failure.
+	// Failed: the upstream answered with a failure.
 	Failed
-	// Lost has no valid answer; the upstream may have run it.
+	// Lost: no valid answer arrived; the upstream may have run the request.
 	Lost
-	// Broken was written to an upstream that ended the connection before any byte of an
-	// answer: it may have run it, or have crashed under it.
+	// Broken: the request was written, but the upstream ended the connection before the
+	// first byte of an answer. It may have run the request, or have crashed while running it.
 	Broken
-	// Expired was not sent, because no time was left.
+	// Expired: the request was not sent, because no time was left.
 	Expired
-	// Shut was written to a connection that the upstream closed as soon as it was
-	// open, sooner than anything could have run: it takes no more connections.
-	// That is no proof, so a request that may run only once is not sent again.
+	// Shut: the request was written to a connection that the upstream closed as soon as it
+	// was open, too soon to have run anything: the upstream accepts no more connections. That
+	// is no proof, so a request that may run only once is not sent again.
 	Shut
-	// NoConnection never left this VM: it may have no more connections to the
-	// upstream, and none came free.
+	// NoConnection: the request did not leave this VM, because the VM may open no more
+	// connections to the upstream and none became free.
 	NoConnection
-	// Barred was not sent: meanwhile the upstream may not be given the request any more.
+	// Barred: the request was not sent, because the upstream may no longer be given it.
 	Barred
 )
 
-// Survived tells whether the result shows that the upstream has run the request and lives.
+// Survived reports whether the upstream has run the request without crashing.
 func (r Result) Survived() bool { return r == Answered || r == Failed }
 
-// Reached tells whether the request has arrived at the upstream, or may have.
+// Reached reports whether the request has arrived at the upstream, or may have.
 func (r Result) Reached() bool {
 	return r != Unreached && r != Expired && r != NoConnection && r != Barred
 }
 
-// NotRun tells whether the result proves that the upstream has not run the
-// request.
+// NotRun reports whether the result proves that the upstream has not run the request.
 func (r Result) NotRun() bool {
 	return r == Refused || !r.Reached()
 }
 
-// String is the result's name in logs and metrics.
+// String returns the result's name in logs and metrics.
 func (r Result) String() string {
 	return [...]string{"answered", "unreached", "refused", "failed", "lost", "broken", "expired", "shut", "no_connection", "barred"}[r]
 }
 
-// Reason says why a request ended without an answer, in logs, metrics and the
-// body of the refusal.
+// Reason is why a request ended without an answer, as written to logs, metrics and the body
+// of the refusal.
 type Reason string
 
-// Reasons.
+// Reasons for the end of a request.
 const (
 	// None: there is an answer.
 	None Reason = ""
-	// NoUpstream: no upstream of a service is known, or none that may be tried.
+	// NoUpstream: no upstream of a service is known, or none may be tried.
 	NoUpstream Reason = "no_upstream"
-	// AllRefused: every upstream tried refused it.
+	// AllRefused: every upstream that was tried refused the request.
 	AllRefused Reason = "all_refused"
 	// UpstreamFailed: upstreams failed, or their answers were lost.
 	UpstreamFailed Reason = "upstream_failed"
 	// TooFewParts: too many shards cannot answer any more.
 	TooFewParts Reason = "too_few_parts"
-	// TimedOut: the caller's deadline or the route's timeout has come.
+	// TimedOut: the caller's deadline or the route's timeout has passed.
 	TimedOut Reason = "timed_out"
 )
 
-// Plan is what is known of a request before anything is sent.
+// Plan describes a request before anything is sent.
 type Plan struct {
 	// Services holds the service of each part.
 	Services []string
 	// Idempotent requests may be sent again after they may have run.
 	Idempotent bool
-	// Attempts is the most upstreams that may run one part.
+	// Attempts is the largest number of upstreams that may run one part.
 	Attempts int
-	// MinParts is how many parts make an answer.
+	// MinParts is the least number of parts that make an answer.
 	MinParts int
 	// AnswerBy is when an answer must leave to meet the route's objective.
 	AnswerBy time.Time
-	// GiveUp is when the caller or the route's timeout ends the request.
+	// GiveUp is the request's deadline, set by the caller or the route's timeout.
 	GiveUp time.Time
-	// Trial says that upstreams have ended under the same request before: one is asked
-	// alone, and others once it has survived it.
+	// Trial is set if upstreams have crashed while running the same request before: it is
+	// sent to one upstream alone, and to others only after that one has survived it.
 	Trial bool
 }
 
-// Policy chooses and accounts; the Query asks it while it is stepped.
+// Policy chooses upstreams and keeps the budget. A Query calls it during a step.
 type Policy interface {
-	// Choose is the upstream for a part, none of the tried; nil without one.
+	// Choose returns an upstream for a part that is not among the tried ids, nil if there
+	// is none.
 	Choose(part int, tried []string) *catalog.Upstream
-	// Spend takes an extra send of a part's service from the budget.
+	// Spend takes one extra send from the budget of a part's service. It returns false if
+	// the budget is exhausted.
 	Spend(part int, kind retrybudget.Kind) bool
-	// Reachable tells whether any upstream of a part may be reached; false while
-	// all of them have just been found unreachable.
+	// Reachable reports whether any upstream of a part may be reachable; false while
+	// recent connections to all of them have failed.
 	Reachable(part int) bool
-	// HedgeDelay is how long to wait for an upstream before a part is hedged.
+	// HedgeDelay returns how long to wait for an upstream's answer before a part is hedged.
 	HedgeDelay(part int, u *catalog.Upstream) time.Duration
 }
 
-// Cause says why something is sent.
+// Cause is why a send is made, as written to logs and metrics.
 type Cause string
 
-// Causes.
+// Causes of a send.
 const (
-	First        Cause = "first"
-	AfterRefusal Cause = "after_refusal"
-	AfterFailure Cause = "after_failure"
-	AfterUnreach Cause = "after_unreached"
-	// AfterFull follows a send that was not let in, or found no connection.
+	First          Cause = "first"
+	AfterRefusal   Cause = "after_refusal"
+	AfterFailure   Cause = "after_failure"
+	AfterUnreached Cause = "after_unreached"
+	// AfterFull follows the result Shut or NoConnection.
 	AfterFull Cause = "after_full"
-	// AfterBar follows a send that might not be made any more.
-	AfterBar      Cause = "after_bar"
-	BecauseIsLate Cause = "hedge"
+	// AfterBarred follows the result Barred.
+	AfterBarred Cause = "after_bar"
+	// Hedge duplicates a send whose answer is late.
+	Hedge Cause = "hedge"
 )
 
 // Send is one send to make. Attempt numbers the sends of a query from 0.
@@ -133,15 +135,14 @@
 	Cause    Cause
 }
 
-// Verdict is how the request ended.
+// Verdict is how a request ended.
 type Verdict struct {
-	// Reason is None when there is an answer.
+	// Reason is None if there is an answer.
 	Reason Reason
-	// NotRun says that no upstream has run any part or will.
+	// NotRun is set if no upstream has run any part or will.
 	NotRun bool
-	// Parts holds the attempt whose answer stands for each part, -1 for a part
-	// that is missing.
+	// Parts holds the attempt that answered each part, -1 for a missing part.
 	Parts []int
-	// Failure is the attempt whose failure an upstream reported, -1 for none.
+	// Failure is the last attempt that an upstream answered with a failure, -1 for none.
 	Failure int
 }
