--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,15 +1,15 @@
-// Package rendezvous weighs pairs of hashes for rendezvous hashing. VMs that use
-// the same weights choose alike without a message.
+// Package rendezvous computes weights for rendezvous (highest random weight) hashing. VMs
+// that use the same weights make the same choices without exchanging messages.
 package rendezvous
 
-// Weight is the weight of a pair; the order of the two does not matter. Each bit
-// of it depends on every bit of both (the finalizer of MurmurHash3 over their
-// exclusive or), so that the choices for one key say nothing about another's.
+// Weight returns the weight of a pair of hashes; their order does not matter. Every bit of
+// the weight depends on every bit of both hashes (it is the finalizer of MurmurHash3 over
+// their exclusive or), so that the choices for different keys are independent.
 func Weight(a, b uint64) uint64 {
 	return Mix(a ^ b)
 }
 
-// Mix spreads the bits of a hash, for hashes that are made from counters.
+// Mix spreads the bits of h over the whole result. It turns counters into usable hashes.
 func Mix(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
--- a/internal/topk/topk.go
+++ b/internal/topk/topk.go
@@ -1,4 +1,4 @@
-// Package topk merges parts of fixed-size records into the greatest k of them.
+// Package topk merges the records of several shards' answers into the k greatest.
 package topk
 
 import (
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// RecordBytes is the size of a record, as the upstream interface fixes it.
+// RecordBytes is the size of a record as defined by the upstream interface.
 const RecordBytes = 16
 
-// Merge is the k greatest records of all parts, greatest first, compared byte by
-// byte. Equal records all count. A remainder of a part that is shorter than a
-// record is no record.
+// Merge returns the k greatest records of all parts, concatenated, greatest first. Records are
+// compared byte by byte; duplicates are kept. Trailing bytes of a part that are shorter than a
+// record are ignored.
 func Merge(parts [][]byte, k int) []byte {
 	var records [][]byte
 	for _, p := range parts {
--- a/internal/topk/topk_test.go
+++ b/internal/topk/topk_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// The merge is the first k of all records sorted, whatever the parts are; equal
-// records all count and a short remainder is dropped.
+// For any parts, Merge returns the first k of all records in descending order, keeps
+// duplicates and drops trailing bytes.
 func TestMergeAgreesWithSorting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k := rapid.IntRange(0, 12).Draw(t, "k")
