--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -40,9 +40,9 @@
 	// lateFactor is the multiple of its expected time after which a send is late. An
 	// upstream counts as paused while it has a late open send.
 	lateFactor = 2.5
-	// maxLateRatio caps the ratio of a single late answer. The answers after a pause are fast
-	// again, so that one late answer must not outweigh earlier observations. A second late
-	// answer with no fast one in between counts in full.
+	// maxLateRatio caps the ratio of a single late answer: the answers after a pause are fast
+	// again, and one late answer must not outweigh earlier observations. A second late answer
+	// with no fast one in between counts in full.
 	maxLateRatio = 4.0
 	// pausePenalty is the time added to the cost of a paused upstream: a usual pause of a
 	// garbage collector or a compaction.
@@ -54,10 +54,10 @@
 	// hedgeReserve is how many medians are left for a hedge's own answer before the
 	// objective: the hedge may have to open a connection, and its upstream may be slow too.
 	hedgeReserve = 2.0
-	// maxDelayFactor bounds how far a hedge is delayed beyond the tail, as a multiple of the
+	// maxHedgeDelayFactor bounds how far a hedge is delayed beyond the tail, as a multiple of the
 	// assumed answer time, which is a quarter of the objective. The delay saves budget for
 	// failures of upstreams.
-	maxDelayFactor = 1.4
+	maxHedgeDelayFactor = 1.4
 	// quantileTTL is how long computed quantiles are cached.
 	quantileTTL = 200 * time.Millisecond
 	// costJitter is the largest random relative increase of a cost. It spreads requests
@@ -340,7 +340,7 @@
 
 // HedgeDelay returns how long to wait for an answer of the upstream before the request is
 // hedged: the tail of the answer times of its kind. Since each hedge is extra load, the
-// delay is longer where the objective leaves room: up to maxDelayFactor times assumed, as
+// delay is longer where the objective leaves room: up to maxHedgeDelayFactor times assumed, as
 // long as the hedge still has hedgeReserve medians for its own answer. The delay never
 // exceeds twice assumed.
 func (t *Table) HedgeDelay(now time.Time, kindName string, assumed, objective time.Duration, c *catalog.Upstream) time.Duration {
@@ -352,7 +352,7 @@
 		return assumed
 	}
 	room := objective - time.Duration(hedgeReserve*float64(t.median(now, k, locality.Far)))
-	return min(max(tail, min(room, time.Duration(maxDelayFactor*float64(assumed)))), 2*assumed)
+	return min(max(tail, min(room, time.Duration(maxHedgeDelayFactor*float64(assumed)))), 2*assumed)
 }
 
 // observe adds the ratio of an answer time to the expected one. Late answers that were
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -287,7 +287,7 @@
 	if d := f.table.HedgeDelay(f.now, "k", assumed, 170*ms, f.replicas[0]); d <= near || d >= assumed {
 		t.Errorf("with some room: %v, want between %v and %v", d, near, assumed)
 	}
-	want := time.Duration(maxDelayFactor * float64(assumed))
+	want := time.Duration(maxHedgeDelayFactor * float64(assumed))
 	if d := f.table.HedgeDelay(f.now, "k", assumed, 400*ms, f.replicas[0]); d != want {
 		t.Errorf("with much room: %v, want %v", d, want)
 	}
