--- a/internal/edge/admit.go
+++ b/internal/edge/admit.go
@@ -10,61 +10,61 @@
 )
 
 const (
-	// turns is how often a request waits for the processor: when it is read, when
-	// its parts are sent, when most have come, and when the answer is written.
-	turns = 4
-	// leastLag is the delay up to which a process counts as healthy, whatever an
-	// objective asks.
-	leastLag = 20 * time.Millisecond
+	// schedulingWaits is how often a request waits for the processor: when it is read, when
+	// its parts are sent, when most replies have arrived, and when the answer is written.
+	schedulingWaits = 4
+	// tolerableDelay is the scheduling delay up to which a process counts as healthy,
+	// whatever the objective.
+	tolerableDelay = 20 * time.Millisecond
 )
 
-// startScatter begins a query unless as many are under way as the upstreams of
-// its shards take: beyond that most queries would lose some shard, and the work
-// for their others would be wasted. The less urgent are refused first, with nil.
-func (e *Engine) startScatter(v *catalog.View, route *routing.Route) *congestion.Limiter {
+// beginQuery starts a query, or returns nil if the upstreams of its shards already run as
+// many as they accept: beyond that most queries would lose a shard, and the work for their
+// other shards would be wasted. Routes of lower priority are refused first.
+func (e *Engine) beginQuery(v *catalog.View, route *routing.Route) *congestion.Limiter {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	l := e.scatter(v, route)
-	if !l.Start(urgency(route.Priority)) {
+	l := e.limiter(v, route)
+	if !l.Start(priorityClass(route.Priority)) {
 		return nil
 	}
 	return l
 }
 
-// congestedRetry is when a query that was refused for congestion may come back.
-func (e *Engine) congestedRetry(v *catalog.View, route *routing.Route) time.Duration {
+// congestedRetryAfter returns when the caller of a query refused for congestion may retry.
+func (e *Engine) congestedRetryAfter(v *catalog.View, route *routing.Route) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.scatter(v, route).RetryAfter(e.now())
+	return e.limiter(v, route).RetryAfter(e.now())
 }
 
-// endScatter ends a query at the limiter that it was begun at.
-func (e *Engine) endScatter(l *congestion.Limiter, r *Request, a *Answer) {
+// endQuery reports the end of a query to the limiter that admitted it.
+func (e *Engine) endQuery(l *congestion.Limiter, r *Request, a *Answer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if a.Reason == Gone {
+	if a.Reason == CallerGone {
 		l.Abandon()
 		return
 	}
 	now := e.now()
 	l.Done(now, r.Received, congestion.Outcome{
-		Shards: len(r.Route.Shards), NoRoom: a.Crowded, Late: now.Sub(r.Received) > objective(r.Route),
+		Shards: len(r.Route.Shards), NoRoom: a.CongestedParts, Late: now.Sub(r.Received) > objective(r.Route),
 	})
 }
 
-// scatter is the limiter of a route's shards. The caller holds mu.
-func (e *Engine) scatter(v *catalog.View, route *routing.Route) *congestion.Limiter {
-	l := e.scatters[route.Shards[0]]
+// limiter returns the limiter of a route's shards. The caller holds mu.
+func (e *Engine) limiter(v *catalog.View, route *routing.Route) *congestion.Limiter {
+	l := e.limiters[route.Shards[0]]
 	if l == nil {
-		l = congestion.New(congestion.DefaultPolicy().WithSlots(leastSlots(v, route.Shards)))
-		e.scatters[route.Shards[0]] = l
+		l = congestion.New(congestion.DefaultPolicy().WithSlots(minShardSlots(v, route.Shards)))
+		e.limiters[route.Shards[0]] = l
 	}
 	return l
 }
 
-// leastSlots is the slots of the shard that has the fewest, of those that have an upstream; 0
-// when none has.
-func leastSlots(v *catalog.View, shards []string) int {
+// minShardSlots returns the slots of the shard that has the fewest, among the shards that
+// have an upstream, or 0 if none has.
+func minShardSlots(v *catalog.View, shards []string) int {
 	least := 0
 	for _, shard := range shards {
 		slots := 0
@@ -78,8 +78,8 @@
 	return least
 }
 
-// urgency is the class of a route's priority; 0 is the most urgent.
-func urgency(priority int) pb.Priority {
+// priorityClass maps a route's priority, of which 0 is the most urgent, to its class.
+func priorityClass(priority int) pb.Priority {
 	switch {
 	case priority <= 0:
 		return pb.Priority_HIGH
@@ -90,13 +90,13 @@
 	}
 }
 
-// tooSlow tells whether this process is woken so late that the route's objective
-// cannot be met here: a request takes its turn of the processor several times.
-// It is refused at once, while another VM can still serve it in time.
-func (e *Engine) tooSlow(route *routing.Route) bool {
-	lag := time.Duration(e.lag.Load())
-	return lag > leastLag && lag*turns > objective(route)
+// cannotMeetObjective reports whether the scheduling delay of this process is so high that
+// it cannot meet the route's objective: a request waits for the processor several times.
+// Such a request is refused at once, while another VM can still serve it in time.
+func (e *Engine) cannotMeetObjective(route *routing.Route) bool {
+	delay := time.Duration(e.schedulingDelay.Load())
+	return delay > tolerableDelay && delay*schedulingWaits > objective(route)
 }
 
-// SetLag tells how late this process is woken.
-func (e *Engine) SetLag(lag time.Duration) { e.lag.Store(int64(lag)) }
+// SetLag sets how late the operating system wakes this process.
+func (e *Engine) SetLag(delay time.Duration) { e.schedulingDelay.Store(int64(delay)) }
--- a/internal/edge/answer.go
+++ b/internal/edge/answer.go
@@ -9,42 +9,42 @@
 	"sycamorekeel.example/sycamorekeel/internal/topk"
 )
 
-// answer turns the verdict into what the caller gets.
+// answer converts the verdict of a query to the answer for the caller.
 func (x *run) answer(v *scatter.Verdict) Answer {
-	a := Answer{Reason: Reason(v.Reason), NotRun: v.NotRun, Sends: len(x.sends), Unspent: x.unspent}
-	a.Crowded = x.crowdedParts()
-	a.Broken, a.Replied = x.count(scatter.Broken), x.count(scatter.Answered)
+	a := Answer{Reason: Reason(v.Reason), NotRun: v.NotRun, Sends: len(x.sends), BudgetRefusals: x.budgetRefusals}
+	a.CongestedParts = x.congestedParts()
+	a.BrokenSends, a.AnsweredSends = x.countResults(scatter.Broken), x.countResults(scatter.Answered)
 	if x.last != nil {
-		a.Slowest = x.last.call.Upstream.ID
+		a.SlowestUpstream = x.last.call.Upstream.ID
 		a.SlowestAfter = x.lastAt.Sub(x.req.Received)
 		a.Stages = stagesOf(x.req, &x.sends[0], x.last, x.lastAt)
 	}
 	switch {
 	case v.Reason != scatter.None:
-		x.fail(&a, v)
+		x.fillFailure(&a, v)
 	case x.req.Route.FanOut():
-		x.merge(&a, v)
+		x.mergeParts(&a, v)
 	default:
 		a.Response = x.sends[v.Parts[0]].reply.Response
 	}
 	return a
 }
 
-// crowdedParts is how many parts an upstream refused for want of room. A wait for a
-// connection does not count: after a restart one VM may be ready before the others,
-// with few connections to upstreams that idle.
-func (x *run) crowdedParts() int {
-	crowded := map[int]bool{}
+// congestedParts returns how many parts a full upstream refused. Waits for a connection do
+// not count: after a restart one VM may be ready before the others, and then has few
+// connections to upstreams that are idle.
+func (x *run) congestedParts() int {
+	full := map[int]bool{}
 	for i := range x.sends {
-		if s := &x.sends[i]; s.replied && s.crowdedOut() {
-			crowded[s.part] = true
+		if s := &x.sends[i]; s.replied && s.refusedFull() {
+			full[s.part] = true
 		}
 	}
-	return len(crowded)
+	return len(full)
 }
 
-// count is how many sends ended with a result.
-func (x *run) count(r scatter.Result) int {
+// countResults returns how many sends ended with the given result.
+func (x *run) countResults(r scatter.Result) int {
 	n := 0
 	for i := range x.sends {
 		if s := &x.sends[i]; s.replied && s.reply.Result == r {
@@ -54,9 +54,9 @@
 	return n
 }
 
-// fail gives a plain request the failure that its upstream reported, and tells
-// when to come back after work that has not run.
-func (x *run) fail(a *Answer, v *scatter.Verdict) {
+// fillFailure sets the failure response of the upstream for a request that is not a query,
+// and the retry time for work that has not run.
+func (x *run) fillFailure(a *Answer, v *scatter.Verdict) {
 	if !x.req.Route.FanOut() && v.Failure >= 0 {
 		a.Response = x.sends[v.Failure].reply.Response
 	}
@@ -64,26 +64,26 @@
 		a.RetryAfter = retryAfter(v.Reason)
 	}
 	if v.Reason == scatter.NoUpstream {
-		x.explainNoUpstream(a)
+		x.classifyNoUpstream(a)
 	}
 }
 
-// explainNoUpstream tells what keeps the upstreams of a request from it, and when that may
-// have changed.
-func (x *run) explainNoUpstream(a *Answer) {
+// classifyNoUpstream sets why no upstream may be given the request, and when to retry if
+// that is known.
+func (x *run) classifyNoUpstream(a *Answer) {
 	v := x.engine.view.Load()
 	homes := x.homes(v)
 	for part, service := range x.plan.Services {
 		if len(x.candidates(part)) > 0 {
 			continue
 		}
-		atHome := x.engine.atHome(v.Services[service], homes)
+		atHome := x.engine.inHomes(v.Services[service], homes)
 		switch {
 		case len(atHome) > 0:
 			a.Reason = ColdUpstreams
-			a.RetryAfter = x.engine.warmIn(atHome)
+			a.RetryAfter = x.engine.timeUntilWarm(atHome)
 			return
-		case x.engine.evacuated(v, service, homes):
+		case x.engine.hasEvacuated(v, service, homes):
 			a.Reason = Evacuated
 			return
 		case len(v.Services[service]) > 0:
@@ -93,9 +93,9 @@
 	}
 }
 
-// evacuated tells whether upstreams of a service that are in the homes would take work, were
-// their data centre not evacuated.
-func (e *Engine) evacuated(v *catalog.View, service string, homes routing.Homes) bool {
+// hasEvacuated reports whether a service has upstreams in the home regions that are
+// unavailable only because their data centre is evacuated.
+func (e *Engine) hasEvacuated(v *catalog.View, service string, homes routing.Homes) bool {
 	if len(v.Evacuated) == 0 {
 		return false
 	}
@@ -107,12 +107,12 @@
 	return false
 }
 
-func (x *run) merge(a *Answer, v *scatter.Verdict) {
+func (x *run) mergeParts(a *Answer, v *scatter.Verdict) {
 	var parts [][]byte
 	for i, n := range v.Parts {
 		if n < 0 {
 			a.Missing++
-			x.logMissing(i)
+			x.logMissingPart(i)
 			continue
 		}
 		reply := &x.sends[n].reply
@@ -122,20 +122,20 @@
 	a.Body = topk.Merge(parts, x.req.Route.TopK)
 }
 
-// logMissing tells of a shard that the answer leaves out, with the upstreams that
-// were asked and have not answered.
-func (x *run) logMissing(part int) {
-	var waited []string
+// logMissingPart logs a shard that the answer leaves out, with the upstreams that were sent
+// the part and have not replied.
+func (x *run) logMissingPart(part int) {
+	var pending []string
 	for i := range x.sends {
 		if s := &x.sends[i]; s.part == part && !s.replied {
-			waited = append(waited, s.call.Upstream.ID)
+			pending = append(pending, s.call.Upstream.ID)
 		}
 	}
 	x.engine.opts.Logs.Failures.Info("edge: part left out",
 		zap.String("request", x.req.Message.ID),
 		zap.String("route", x.req.Route.Name),
 		zap.String("service", x.plan.Services[part]),
-		zap.Strings("waited_for", waited),
+		zap.Strings("waited_for", pending),
 		zap.Duration("age", x.engine.now().Sub(x.req.Received)),
 		zap.Uint64("revision", x.view.Revision))
 }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,9 +1,9 @@
-// Package edge serves callers' requests on one VM: it finds the route, plans the
-// query, drives it over direct connections to upstreams, and gives the answer or
-// a refusal that says why.
+// Package edge serves callers' requests on one VM. It looks up the route, plans the query,
+// sends its parts over direct connections to upstreams, and returns either the answer or a
+// refusal with its reason.
 //
-// Lock order: Engine.mu and warmth.mu are leaves; no I/O is done and no callback made
-// while one is held.
+// Lock order: Engine.mu and warmupTracker.mu are leaf locks. No I/O and no callback runs
+// while one of them is held.
 package edge
 
 import (
@@ -29,36 +29,35 @@
 )
 
 const (
-	// answerMargin is taken off the objective, which callers count from before
-	// their connection is open: two round trips to a caller at 3 ms one way, and
-	// the wait for a turn of the processor.
-	answerMargin = 20 * time.Millisecond
-	// giveUpMargin is taken off the caller's deadline, so that the final answer
-	// still reaches it: the way to a caller in another region.
-	giveUpMargin = 15 * time.Millisecond
-	// noDeadline bounds requests whose caller sets no deadline and whose route
-	// has no timeout.
-	noDeadline = 30 * time.Second
-	// goneEvery is how often a long request looks whether its caller is still
-	// there. Upstreams should stop within half a second of its leaving.
-	goneEvery = 200 * time.Millisecond
-	// capUnknown is the connections to an upstream that publishes no bound.
-	capUnknown = 32
-	// startHold is how old a process may be to let requests wait for its first
-	// configuration: it has one 0.05 to 0.3 s after its start, unless the store and
-	// all peers are away. Callers try twice, and after the loss of all processes the
+	// objectiveMargin is subtracted from the objective, because callers start the clock
+	// before their connection is open. It covers two round trips to a caller at 3 ms one way
+	// and the wait for the processor.
+	objectiveMargin = 20 * time.Millisecond
+	// deadlineMargin is subtracted from the caller's deadline, so that the final answer
+	// still reaches a caller in another region in time.
+	deadlineMargin = 15 * time.Millisecond
+	// defaultTimeout applies when the caller sets no deadline and the route has no timeout.
+	defaultTimeout = 30 * time.Second
+	// callerCheckInterval is how often a long request checks that its caller is still
+	// connected. Upstreams should stop within half a second after the caller leaves.
+	callerCheckInterval = 200 * time.Millisecond
+	// defaultConnectionLimit is the connection limit of an upstream that publishes none.
+	defaultConnectionLimit = 32
+	// startupConfigWait is how long after the process start requests wait for the first
+	// configuration. It arrives 0.05 to 0.3 s after the start, unless the store and all
+	// peers are unreachable. Callers try twice, and after the loss of all processes the
 	// first try was spent on VMs that were down.
-	startHold = 400 * time.Millisecond
-	// shareRise is how many times its part of the bounds a VM must be given for the part
-	// to be a new one: the number of VMs that callers are sent to changes by one now and
-	// then, which is no reason to begin with empty budgets.
-	shareRise = 1.25
-	// usualShare is the part of the objective taken for the usual answer time of
-	// a kind of which no answer has been seen.
-	usualShare = 0.25
+	startupConfigWait = 400 * time.Millisecond
+	// shareResetFactor is the factor by which this VM's share must grow for budgets created
+	// later to start empty at that time. The number of VMs that callers are directed to
+	// changes by one now and then, which is no reason to empty budgets.
+	shareResetFactor = 1.25
+	// defaultLatencyShare is the fraction of the objective that is used as the answer time
+	// of a route before its first answer.
+	defaultLatencyShare = 0.25
 )
 
-// Options is what an engine needs.
+// Options configures an Engine.
 type Options struct {
 	Logs     logring.Loggers
 	Metrics  *Metrics
@@ -66,13 +65,13 @@
 	Place    locality.Place
 	// Traffic counts the bytes exchanged with upstreams.
 	Traffic *traffic.Meter
-	// Budget bounds extra sends over all VMs.
+	// Budget limits retries and hedges over all VMs.
 	Budget retrybudget.Limit
-	// MaxRequests bounds the requests in flight on this VM.
+	// MaxRequests limits the requests in flight on this VM.
 	MaxRequests int
-	// Random spreads choices.
+	// Random seeds routing splits and randomises the choice of upstreams.
 	Random *rand.Rand
-	// ViewAge is the time since the store last confirmed the view in force.
+	// ViewAge returns the time since the store last confirmed the current view.
 	ViewAge func() time.Duration
 }
 
@@ -81,74 +80,75 @@
 	opts  Options
 	now   func() time.Time
 	pools *direct.Pools
-	// do makes a call to an upstream, check finds out whether one has ended.
-	do    func(*direct.Call)
-	check func(*catalog.Upstream, func(ended bool))
-	// poison keeps requests that crash upstreams from them.
+	// startCall starts a call to an upstream. checkEnded reports whether the process of an
+	// upstream has ended.
+	startCall  func(*direct.Call)
+	checkEnded func(*catalog.Upstream, func(ended bool))
+	// poison withholds requests that crash upstreams.
 	poison   *poison.Guard
 	view     atomic.Pointer[catalog.View]
 	shares   atomic.Pointer[Shares]
 	inFlight atomic.Int64
-	// lag is how late this process is woken, in nanoseconds.
-	lag     atomic.Int64
-	started time.Time
-	warmth  warmth
-	// known is closed once there is a configuration.
-	known     chan struct{}
-	knownOnce sync.Once
+	// schedulingDelay is how late the operating system wakes this process, in nanoseconds.
+	schedulingDelay atomic.Int64
+	started         time.Time
+	warmups         warmupTracker
+	// configured is closed when the first configuration arrives.
+	configured     chan struct{}
+	configuredOnce sync.Once
 
 	mu       sync.Mutex
 	replicas *replica.Table
 	budgets  map[string]*retrybudget.Budget
-	// shareSince is since when this VM has had about its present part of the bounds.
+	// shareSince is when this VM's share of the fleet limits last grew by shareResetFactor.
 	shareSince time.Time
-	// scatters limits the queries under way, by the first of their shards.
-	scatters map[string]*congestion.Limiter
-	// draws shares out the requests of a route by its weights.
+	// limiters limits the queries in flight, keyed by the first shard of their route.
+	limiters map[string]*congestion.Limiter
+	// draws splits the requests of each route by the weights of its targets.
 	draws map[string]*routing.Draws
 	sends uint64
 }
 
-// New is an engine that knows no configuration yet.
+// New returns an engine without a configuration.
 func New(now time.Time, opts Options) *Engine {
 	e := &Engine{
 		opts:       opts,
 		now:        time.Now,
 		started:    now,
 		shareSince: now,
-		known:      make(chan struct{}),
+		configured: make(chan struct{}),
 		replicas:   replica.New(opts.Place, opts.Random),
 		budgets:    map[string]*retrybudget.Budget{},
-		scatters:   map[string]*congestion.Limiter{},
+		limiters:   map[string]*congestion.Limiter{},
 		draws:      map[string]*routing.Draws{},
 	}
-	e.warmth.table = warmup.New()
+	e.warmups.table = warmup.New()
 	e.shares.Store(&Shares{VMs: 1, Carriers: 1, Carrying: true})
 	e.pools = direct.NewPools(opts.Protocol, upstreamObserver{opts.Traffic, opts.Place, e}, e.connectionLimit)
-	e.do = e.pools.Do
-	e.check = e.pools.Check
+	e.startCall = e.pools.Do
+	e.checkEnded = e.pools.Check
 	e.poison = poison.New(opts.Logs, opts.Metrics.poison)
 	return e
 }
 
-// SetView puts a view in force for the requests that come after it.
+// SetView applies a view to all later requests.
 func (e *Engine) SetView(now time.Time, v *catalog.View) {
-	e.warmth.keep(now, v)
+	e.warmups.update(now, v)
 	e.view.Store(v)
 	if v.Table != nil {
-		e.knownOnce.Do(func() { close(e.known) })
+		e.configuredOnce.Do(func() { close(e.configured) })
 	}
 	e.mu.Lock()
 	e.replicas.Keep(now, v.Upstreams)
-	e.forget(now, v.Config)
+	e.pruneRemoved(now, v.Config)
 	e.mu.Unlock()
 	e.pools.Keep(v.Upstreams)
 }
 
-// forget drops what is kept of routes and services that the configuration no
-// longer names: with each change it names some others, and a process would grow
-// by them for as long as it runs. The caller holds mu.
-func (e *Engine) forget(now time.Time, c *routing.Config) {
+// pruneRemoved drops the state of routes and services that the configuration no longer
+// names. Otherwise memory would grow with each change of the configuration for as long as
+// the process runs. The caller holds mu.
+func (e *Engine) pruneRemoved(now time.Time, c *routing.Config) {
 	if c == nil {
 		return
 	}
@@ -166,50 +166,50 @@
 		}
 	}
 	for name := range e.budgets {
-		// One that is not full is kept: a service that is named again would else have
-		// at once what has just been spent.
+		// Keep budgets that are not full: a service that is added again would otherwise
+		// regain at once what it has just spent.
 		if !services[name] && e.budgets[name].Full(now) {
 			delete(e.budgets, name)
 		}
 	}
-	for name := range e.scatters {
+	for name := range e.limiters {
 		if !services[name] {
-			delete(e.scatters, name)
+			delete(e.limiters, name)
 		}
 	}
 }
 
-// Poison is what keeps requests that crash upstreams from them.
+// Poison returns the guard that withholds requests that crash upstreams.
 func (e *Engine) Poison() *poison.Guard { return e.poison }
 
-// View is the view in force, nil before the first.
+// View returns the current view, nil before the first.
 func (e *Engine) View() *catalog.View { return e.view.Load() }
 
-// SetShares tells what part of the fleet's bounds is this VM's.
+// SetShares sets this VM's share of the fleet limits.
 func (e *Engine) SetShares(now time.Time, s Shares) {
 	old := e.shares.Swap(&s)
 	if *old == s {
 		return
 	}
-	e.setBudgetShares(now, old.of(1), s.of(1))
+	e.setBudgetShares(now, old.portion(1), s.portion(1))
 	if v := e.view.Load(); v != nil {
 		e.pools.Keep(v.Upstreams)
 	}
 }
 
-// setBudgetShares brings the budgets to a new part of the allowance.
+// setBudgetShares applies a new share of the allowance to all budgets.
 func (e *Engine) setBudgetShares(now time.Time, old, share float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, b := range e.budgets {
 		b.SetShare(now, share)
 	}
-	if share > shareRise*old {
+	if share > shareResetFactor*old {
 		e.shareSince = now
 	}
 }
 
-// SetBudget changes the bound on extra sends.
+// SetBudget changes the limit on retries and hedges.
 func (e *Engine) SetBudget(limit retrybudget.Limit) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -219,61 +219,62 @@
 	}
 }
 
-// Tick drops what is no longer used; it is to be called about once a second.
+// Tick expires idle connections and stalled calls, and logs state changes of upstreams. It
+// must be called about once a second.
 func (e *Engine) Tick(now time.Time) {
 	e.pools.Expire(now)
 	e.mu.Lock()
-	turns := e.replicas.StateChanges(now)
+	changes := e.replicas.StateChanges(now)
 	e.mu.Unlock()
-	for _, t := range turns {
-		e.logStateChange(t)
+	for _, c := range changes {
+		e.logStateChange(c)
 	}
 }
 
-// InFlight is the requests under way.
+// InFlight returns the number of requests in flight.
 func (e *Engine) InFlight() int64 { return e.inFlight.Load() }
 
-// Opened is how many connections were opened to the present upstreams.
+// Opened returns how many connections were opened to the current upstreams.
 func (e *Engine) Opened() uint64 { return e.pools.Opened() }
 
-// Close ends the idle connections to upstreams.
+// Close closes the idle connections to upstreams.
 func (e *Engine) Close() { e.pools.Close() }
 
-// connectionLimit is this VM's share of the connections that one upstream of a
-// service takes.
+// connectionLimit returns this VM's share of the connections that one upstream of a service
+// accepts.
 func (e *Engine) connectionLimit(service string) int {
-	most := capUnknown
+	limit := defaultConnectionLimit
 	if v := e.view.Load(); v != nil && v.Table != nil {
 		if s, ok := v.Table.Service(service); ok && s.MaxConnections > 0 {
-			most = s.MaxConnections
+			limit = s.MaxConnections
 		}
 	}
-	return max(1, int(e.shares.Load().of(float64(most))))
+	return max(1, int(e.shares.Load().portion(float64(limit))))
 }
 
-// Serve carries one request to its end.
+// Serve runs a request and returns its answer.
 func (e *Engine) Serve(r *Request) Answer {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
 	a := e.serve(r)
-	e.end(r, &a)
+	e.recordEnd(r, &a)
 	return a
 }
 
-// Refuse ends a request that could not be read, or that breaks the interface's
-// rules, so that it has its line and its counter as every other.
+// Refuse ends a request that could not be read or that violates the protocol, so that it is
+// logged and counted like any other.
 func (e *Engine) Refuse(r *Request, reason Reason) Answer {
 	a := refuse(reason, 0)
-	e.end(r, &a)
+	e.recordEnd(r, &a)
 	return a
 }
 
-// end counts a request that has its answer, and logs it.
-func (e *Engine) end(r *Request, a *Answer) {
-	a.Took = e.now().Sub(r.Received)
-	a.Stages.finish(a.Took)
-	e.opts.Metrics.ended(a)
-	e.logEnd(r, a)
+// recordEnd counts and logs a finished request.
+func (e *Engine) recordEnd(r *Request, a *Answer) {
+	a.Elapsed = e.now().Sub(r.Received)
+	a.Stages.finish(a.Elapsed)
+	e.opts.Metrics.requestEnded(a)
+	e.logRequestEnd(r, a)
 }
 
 func (e *Engine) serve(r *Request) Answer {
@@ -288,53 +289,53 @@
 	if r.Route == nil {
 		return refuse(NoRoute, 0)
 	}
-	if e.tooSlow(r.Route) {
+	if e.cannotMeetObjective(r.Route) {
 		return refuse(Overloaded, overloadRetry)
 	}
 	switch a := e.admit(r); {
 	case a.Standing == quarantine.Blocked:
-		return refuse(Poison, a.Until.Sub(e.now()))
+		return refuse(PoisonRequest, a.Until.Sub(e.now()))
 	case a.Held:
-		return refuse(Held, heldRetry)
-	case a.Waited && r.gone():
-		return Answer{Reason: Gone}
+		return refuse(SuspectHeld, suspectHeldRetry)
+	case a.Waited && r.callerGone():
+		return Answer{Reason: CallerGone}
 	default:
 		r.trial = a.Standing == quarantine.Suspect
 	}
 	if !r.Route.FanOut() {
 		return e.run(v, r)
 	}
-	l := e.startScatter(v, r.Route)
+	l := e.beginQuery(v, r.Route)
 	if l == nil {
-		return refuse(Congested, e.congestedRetry(v, r.Route))
+		return refuse(Congested, e.congestedRetryAfter(v, r.Route))
 	}
 	a := e.run(v, r)
-	e.endScatter(l, r, &a)
+	e.endQuery(l, r, &a)
 	return a
 }
 
-// awaitView is the view in force. A process that has just started waits for its
-// first one; nil when there is none.
+// awaitView returns the current view. A process that has just started waits up to
+// startupConfigWait for its first view; awaitView returns nil if none arrives.
 func (e *Engine) awaitView() *catalog.View {
 	if v := e.view.Load(); v != nil && v.Table != nil {
 		return v
 	}
-	left := startHold - e.now().Sub(e.started)
-	if left <= 0 {
+	remaining := startupConfigWait - e.now().Sub(e.started)
+	if remaining <= 0 {
 		return nil
 	}
-	t := time.NewTimer(left)
+	t := time.NewTimer(remaining)
 	defer t.Stop()
 	select {
-	case <-e.known:
+	case <-e.configured:
 		return e.view.Load()
 	case <-t.C:
 		return nil
 	}
 }
 
-// plan works out the parts and times of a request. The services are fixed here,
-// once: a configuration that comes meanwhile does not mix into the request.
+// plan returns the parts and times of a request. It fixes the services once, so that a
+// configuration change during the request does not affect it.
 func (e *Engine) plan(r *Request) scatter.Plan {
 	route := r.Route
 	p := scatter.Plan{
@@ -343,46 +344,46 @@
 		Attempts:   max(1, route.Attempts),
 		MinParts:   1,
 		AnswerBy:   answerBy(r),
-		GiveUp:     r.Received.Add(r.wait()),
+		GiveUp:     r.Received.Add(r.timeout()),
 		Trial:      r.trial,
 	}
 	if !route.FanOut() {
-		p.Services = []string{route.Pick(e.draw(route.Name))}
+		p.Services = []string{route.Pick(e.nextDraw(route.Name))}
 		return p
 	}
 	p.MinParts = minParts(route)
 	return p
 }
 
-// answerBy is when an answer must leave to meet the objective.
+// answerBy returns when an answer must leave to meet the objective.
 func answerBy(r *Request) time.Time {
-	aim := objective(r.Route)
-	return r.Received.Add(max(aim-answerMargin, aim/2))
+	target := objective(r.Route)
+	return r.Received.Add(max(target-objectiveMargin, target/2))
 }
 
-// objective is the time that a route's answers aim at. A route whose timeout is
-// shorter than its objective aims at that; one with neither has its callers wait
-// for everything.
+// objective returns the target answer time of a route: its objective or its timeout,
+// whichever is shorter. A route with neither waits for all parts.
 func objective(route *routing.Route) time.Duration {
-	aim := noDeadline
+	target := defaultTimeout
 	if route.Objective > 0 {
-		aim = route.Objective
+		target = route.Objective
 	}
 	if route.Timeout > 0 {
-		aim = min(aim, route.Timeout)
+		target = min(target, route.Timeout)
 	}
-	return aim
+	return target
 }
 
-// minParts is the least number of shards that makes an answer.
+// minParts returns the least number of shards that an answer may contain.
 func minParts(route *routing.Route) int {
 	const rounding = 1e-9
 	n := int(math.Ceil(route.MinCoverage*float64(len(route.Shards)) - rounding))
 	return min(max(1, n), len(route.Shards))
 }
 
-// draw is the next number by which a request of a route is given to a part of its split.
-func (e *Engine) draw(route string) float64 {
+// nextDraw returns the number that assigns the next request of a route to a target of its
+// split.
+func (e *Engine) nextDraw(route string) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	d := e.draws[route]
@@ -393,23 +394,23 @@
 	return d.Next()
 }
 
-// random is a number from 0 to 1.
-func (e *Engine) random() float64 {
+// randomFloat returns a random number in [0, 1).
+func (e *Engine) randomFloat() float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.opts.Random.Float64()
 }
 
-// usual is the answer time assumed of a route of which no answer has been seen.
-func usual(route *routing.Route) time.Duration {
-	return time.Duration(usualShare * float64(objective(route)))
+// defaultLatency returns the answer time assumed for a route before its first answer.
+func defaultLatency(route *routing.Route) time.Duration {
+	return time.Duration(defaultLatencyShare * float64(objective(route)))
 }
 
-// budget is a service's budget. The caller holds mu.
+// budget returns the retry budget of a service. The caller holds mu.
 func (e *Engine) budget(service string) *retrybudget.Budget {
 	b := e.budgets[service]
 	if b == nil {
-		b = retrybudget.New(e.opts.Budget, e.shares.Load().of(1), e.shareSince)
+		b = retrybudget.New(e.opts.Budget, e.shares.Load().portion(1), e.shareSince)
 		e.budgets[service] = b
 	}
 	return b
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -26,40 +26,40 @@
 	}{{10, 0.89, 9}, {10, 0.9, 9}, {10, 0.75, 8}, {36, 0.95, 35}, {3, 0, 1}, {3, 1, 3}} {
 		r := &routing.Route{Shards: make([]string, c.shards), MinCoverage: c.coverage}
 		if got := minParts(r); got != c.want {
-			t.Errorf("%d shards at %v: %d, want %d", c.shards, c.coverage, got, c.want)
+			t.Errorf("%d shards at coverage %v: at least %d parts, want %d", c.shards, c.coverage, got, c.want)
 		}
 	}
 }
 
-func TestTimesOfARequest(t *testing.T) {
+func TestRequestTimes(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for _, c := range []struct {
 		name                         string
 		objective, timeout, deadline time.Duration
 		answer, wait                 time.Duration
 	}{
-		{"the objective", 250 * time.Millisecond, 4 * time.Second, 3 * time.Second, 230 * time.Millisecond, 3*time.Second - giveUpMargin},
+		{"the objective", 250 * time.Millisecond, 4 * time.Second, 3 * time.Second, 230 * time.Millisecond, 3*time.Second - deadlineMargin},
 		{"a timeout below it", time.Second, 400 * time.Millisecond, 15 * time.Second, 380 * time.Millisecond, 400 * time.Millisecond},
-		{"a tiny objective", 10 * time.Millisecond, 0, 0, 5 * time.Millisecond, noDeadline},
-		{"none of them", 0, 0, 0, noDeadline - answerMargin, noDeadline},
+		{"a tiny objective", 10 * time.Millisecond, 0, 0, 5 * time.Millisecond, defaultTimeout},
+		{"none of them", 0, 0, 0, defaultTimeout - objectiveMargin, defaultTimeout},
 	} {
 		r := &Request{Received: start, Deadline: c.deadline, Route: &routing.Route{Objective: c.objective, Timeout: c.timeout}}
 		if got := answerBy(r).Sub(start); got != c.answer {
-			t.Errorf("%s: answers by %v, want %v", c.name, got, c.answer)
+			t.Errorf("%s: answer by %v, want %v", c.name, got, c.answer)
 		}
-		if got := r.wait(); got != c.wait {
-			t.Errorf("%s: waits %v, want %v", c.name, got, c.wait)
+		if got := r.timeout(); got != c.wait {
+			t.Errorf("%s: timeout %v, want %v", c.name, got, c.wait)
 		}
 	}
 }
 
-// A VM that is woken late refuses what it cannot serve in time, the tightest
-// objectives first.
-func TestASlowVMRefusesWhatWouldBeLate(t *testing.T) {
+// A VM with a high scheduling delay must refuse requests that it cannot serve in time, those
+// with the tightest objectives first.
+func TestHighSchedulingDelayRefusesTightObjectives(t *testing.T) {
 	var e Engine
 	for _, c := range []struct {
-		lag, objective time.Duration
-		refused        bool
+		delay, objective time.Duration
+		refused          bool
 	}{
 		{10 * time.Millisecond, 30 * time.Millisecond, false},
 		{25 * time.Millisecond, 120 * time.Millisecond, false},
@@ -68,130 +68,130 @@
 		{80 * time.Millisecond, 250 * time.Millisecond, true},
 		{80 * time.Millisecond, time.Second, false},
 	} {
-		e.SetLag(c.lag)
-		if got := e.tooSlow(&routing.Route{Objective: c.objective}); got != c.refused {
-			t.Errorf("lag %v, objective %v: refused %v", c.lag, c.objective, got)
+		e.SetLag(c.delay)
+		if got := e.cannotMeetObjective(&routing.Route{Objective: c.objective}); got != c.refused {
+			t.Errorf("scheduling delay %v, objective %v: refused %v", c.delay, c.objective, got)
 		}
 	}
 }
 
-// The parts of all VMs that agree on who carries never exceed the bound.
-func TestSharesAreAtMostTheWhole(t *testing.T) {
+// The shares of VMs that agree on which of them take callers must never add up to more than
+// the limit.
+func TestSharesSumToAtMostTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		vms := rapid.IntRange(1, 600).Draw(t, "vms")
 		carriers := rapid.IntRange(0, vms).Draw(t, "carriers")
 		total := 0.0
 		for i := range vms {
 			s := Shares{VMs: vms, Carriers: carriers, Carrying: i < carriers}
-			total += s.of(100)
+			total += s.portion(100)
 		}
 		if total > 100.0001 {
-			t.Fatalf("%v of 100", total)
+			t.Fatalf("shares of a limit of 100 add up to %v", total)
 		}
 	})
 }
 
-// Guards against callers that are told to come back while upstreams still register: after an
-// outage of the store their entries are back within two seconds, and callers try twice.
-func TestCallersReturnWhenUpstreamsHaveRegistered(t *testing.T) {
-	const away = 2 * time.Second
+// Guards against a retry time that sends callers back while upstreams still register: after
+// an outage of the store their entries return within two seconds, and callers try only
+// twice.
+func TestNoUpstreamRetryOutlastsReregistration(t *testing.T) {
+	const reregistration = 2 * time.Second
 	const callers = 200
 	served := 0
 	for i := range callers {
-		came := time.Duration(i) * away / callers
-		if came+retryAfter(scatter.NoUpstream) >= away {
+		arrival := time.Duration(i) * reregistration / callers
+		if arrival+retryAfter(scatter.NoUpstream) >= reregistration {
 			served++
 		}
 	}
 	if served < callers/2 {
-		t.Errorf("%d of %d callers come back in time", served, callers)
+		t.Errorf("%d of %d callers return after the upstreams have registered, want at least half", served, callers)
 	}
 }
 
-// Symptom: at three times the usual load a sixth of the queries is answered in
-// time, although the upstreams answer half of it.
-// Sequence: each query waits for connections; most lose a shard when their time
-// is up, and the work for their others is wasted.
-// Cause: queries were begun whatever was under way.
-func TestCrowdedQueriesLimitTheNext(t *testing.T) {
-	e := &Engine{now: time.Now, scatters: map[string]*congestion.Limiter{}}
+// Guards against queries that are started regardless of how many are in flight: at three
+// times the usual load each waits for connections, most lose a shard when their time is up,
+// and the work for their other shards is wasted. Only a sixth of the queries was then
+// answered in time, although the upstreams answered half of the load.
+func TestCongestedQueriesLowerTheLimit(t *testing.T) {
+	e := &Engine{now: time.Now, limiters: map[string]*congestion.Limiter{}}
 	route := func(priority int) *routing.Route {
 		return &routing.Route{Shards: []string{"a", "b", "c", "d"}, Priority: priority}
 	}
 	began := time.Now()
 	var l *congestion.Limiter
 	for range 20 {
-		if l = e.startScatter(&catalog.View{}, route(2)); l == nil {
-			t.Fatal("refused before any congestion")
+		if l = e.beginQuery(&catalog.View{}, route(2)); l == nil {
+			t.Fatal("query refused before any congestion")
 		}
 	}
 	for range 20 {
-		e.endScatter(l, &Request{Received: began, Route: route(2)}, &Answer{Crowded: 4})
+		e.endQuery(l, &Request{Received: began, Route: route(2)}, &Answer{CongestedParts: 4})
 	}
 	started := map[int]int{}
 	for range 40 {
 		for priority := range 3 {
-			if e.startScatter(&catalog.View{}, route(priority)) != nil {
+			if e.beginQuery(&catalog.View{}, route(priority)) != nil {
 				started[priority]++
 			}
 		}
 	}
 	if total := started[0] + started[1] + started[2]; total > 10 || total < 5 {
-		t.Errorf("%d queries begun after 20 at once were crowded", total)
+		t.Errorf("%d queries started after 20 concurrent ones were congested, want 5 to 10", total)
 	}
 	if !(started[0] >= started[1] && started[1] >= started[2] && started[0] > started[2]) {
-		t.Errorf("begun by priority: %v, the most urgent should have most", started)
+		t.Errorf("queries started by priority: %v, want most for the most urgent", started)
 	}
 }
 
-// Answers the pattern of a load beyond what the upstreams take that lasts: their queues keep
-// each answer late while few parts are refused. Guards against a limit that settles where
-// nearly every answer is late; and against one that is cut for queries which are late for
-// something else, or found a full upstream and are in time.
-func TestLateQueriesThatFoundAFullUpstreamLowerTheLimit(t *testing.T) {
-	const aim = 100 * time.Millisecond
-	route := &routing.Route{Shards: slices.Repeat([]string{"a"}, 36), Objective: aim}
+// Simulates a lasting overload, in which the queues of upstreams make each answer late while
+// few parts are refused. Guards against a limit that settles where nearly every answer is
+// late, and against a limit that is lowered for queries that are late for another reason, or
+// that met a full upstream and are in time.
+func TestOnlyLateQueriesRefusedByAFullUpstreamLowerTheLimit(t *testing.T) {
+	const objective = 100 * time.Millisecond
+	route := &routing.Route{Shards: slices.Repeat([]string{"a"}, 36), Objective: objective}
 	for _, c := range []struct {
-		name    string
-		took    time.Duration
-		crowded int
-		lowered bool
+		name      string
+		took      time.Duration
+		congested int
+		lowered   bool
 	}{
-		{"late and refused once for want of room", 2 * aim, 1, true},
-		{"late for something else", 2 * aim, 0, false},
-		{"refused once and in time", aim / 2, 1, false},
+		{"late and refused once by a full upstream", 2 * objective, 1, true},
+		{"late for another reason", 2 * objective, 0, false},
+		{"refused once but in time", objective / 2, 1, false},
 	} {
 		now := start
-		e := &Engine{now: func() time.Time { return now }, scatters: map[string]*congestion.Limiter{}}
-		l := e.startScatter(&catalog.View{}, route)
+		e := &Engine{now: func() time.Time { return now }, limiters: map[string]*congestion.Limiter{}}
+		l := e.beginQuery(&catalog.View{}, route)
 		for range 19 {
-			e.startScatter(&catalog.View{}, route)
+			e.beginQuery(&catalog.View{}, route)
 		}
 		before := l.Limit()
 		now = now.Add(c.took)
-		e.endScatter(l, &Request{Received: start, Route: route}, &Answer{Crowded: c.crowded})
+		e.endQuery(l, &Request{Received: start, Route: route}, &Answer{CongestedParts: c.congested})
 		if lowered := l.Limit() < before; lowered != c.lowered {
 			t.Errorf("%s: the limit went from %v to %v", c.name, before, l.Limit())
 		}
 	}
 }
 
-// What a caller that left had under way tells nothing and leaves its place.
-func TestQueriesOfCallersThatLeftTellNothing(t *testing.T) {
-	e := &Engine{now: time.Now, scatters: map[string]*congestion.Limiter{}}
+// A query whose caller has left frees its place and must not count as congested.
+func TestQueriesOfGoneCallersDoNotCountAsCongested(t *testing.T) {
+	e := &Engine{now: time.Now, limiters: map[string]*congestion.Limiter{}}
 	r := &routing.Route{Shards: []string{"a", "b", "c", "d"}}
-	e.endScatter(e.startScatter(&catalog.View{}, r), &Request{Received: time.Now(), Route: r}, &Answer{Reason: Gone, Crowded: 4})
+	e.endQuery(e.beginQuery(&catalog.View{}, r), &Request{Received: time.Now(), Route: r}, &Answer{Reason: CallerGone, CongestedParts: 4})
 	for range 50 {
-		if e.startScatter(&catalog.View{}, r) == nil {
-			t.Fatal("refused")
+		if e.beginQuery(&catalog.View{}, r) == nil {
+			t.Fatal("query refused as congested")
 		}
 	}
 }
 
-// Symptom: a process grows for as long as it runs.
-// Sequence: each configuration names other routes and services.
-// Cause: what was kept of the former ones stayed.
-func TestWhatAConfigurationNoLongerNamesIsForgotten(t *testing.T) {
+// Guards against memory that grows for as long as the process runs: each configuration names
+// other routes and services, and the state of the former ones was kept.
+func TestStateOfRemovedRoutesAndServicesIsDropped(t *testing.T) {
 	start := time.Unix(1000, 0)
 	limit := retrybudget.Limit{Ratio: 1, Window: 10 * time.Second}
 	e := New(start, Options{Metrics: NewMetrics(prometheus.NewRegistry()), Traffic: &traffic.Meter{}, Budget: limit, Random: rand.New(rand.NewPCG(1, 2))})
@@ -206,47 +206,46 @@
 		e.SetView(now, view(i))
 		e.mu.Lock()
 		e.budget(fmt.Sprint(i)).Request()
-		e.scatter(&catalog.View{}, &routing.Route{Shards: []string{fmt.Sprint(i)}})
+		e.limiter(&catalog.View{}, &routing.Route{Shards: []string{fmt.Sprint(i)}})
 		e.replicas.HedgeDelay(now, fmt.Sprint(i), time.Second, 0, &catalog.Upstream{})
 		e.mu.Unlock()
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.budgets) > 13 || len(e.scatters) > 2 {
-		t.Errorf("%d budgets and %d limiters are kept", len(e.budgets), len(e.scatters))
+	if len(e.budgets) > 13 || len(e.limiters) > 2 {
+		t.Errorf("%d budgets and %d limiters kept, want at most 13 and 2", len(e.budgets), len(e.limiters))
 	}
 }
 
-// Symptom: after the loss of all processes a hundred callers are refused twice
-// within half a second and give up.
-// Sequence: they lose their first try with the VMs; those that are back have no
-// configuration for the first tenths of a second and refuse the second one.
-// Cause: a process that knew that it would be ready at once refused nonetheless.
-func TestAProcessThatStartsLetsRequestsWait(t *testing.T) {
-	o := newObserved()
-	o.opts.MaxRequests = 10
+// Guards against refusals by a process that is about to get its configuration. After the
+// loss of all processes callers lose their first try with the VMs, and restarted processes
+// have no configuration for the first tenths of a second. A hundred callers were then
+// refused twice within half a second and gave up.
+func TestRequestsWaitForTheFirstConfiguration(t *testing.T) {
+	e := newTestEngine()
+	e.opts.MaxRequests = 10
 	answered := make(chan Answer)
-	go func() { answered <- o.Serve(request("/other/")) }()
-	for o.InFlight() == 0 {
+	go func() { answered <- e.Serve(request("/other/")) }()
+	for e.InFlight() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	o.know()
+	e.configure()
 	if a := <-answered; a.Reason != NoRoute {
-		t.Errorf("ended with %q, want the answer of the configuration", a.Reason)
+		t.Errorf("ended with %q, want no_route from the configuration", a.Reason)
 	}
 }
 
-// A process that has been without a configuration for longer expects none soon:
-// it refuses at once. So does one that holds as many requests as it may.
+// A process that has been without a configuration for longer than startupConfigWait, or that
+// is at its limit of requests, must refuse at once.
 func TestWaitingForAConfigurationIsBounded(t *testing.T) {
-	o := newObserved()
-	o.started = time.Now().Add(-startHold)
-	if a := o.Serve(request("/p/")); a.Reason != Unready || a.RetryAfter == 0 || a.Took > startHold/2 {
-		t.Errorf("ended with %q after %v, to come back in %v", a.Reason, a.Took, a.RetryAfter)
-	}
-	o = newObserved()
-	o.inFlight.Add(1)
-	if a := o.Serve(request("/p/")); a.Reason != Overloaded {
-		t.Errorf("ended with %q beyond the bound", a.Reason)
+	e := newTestEngine()
+	e.started = time.Now().Add(-startupConfigWait)
+	if a := e.Serve(request("/p/")); a.Reason != Unready || a.RetryAfter == 0 || a.Elapsed > startupConfigWait/2 {
+		t.Errorf("ended with %q after %v, retry after %v", a.Reason, a.Elapsed, a.RetryAfter)
+	}
+	e = newTestEngine()
+	e.inFlight.Add(1)
+	if a := e.Serve(request("/p/")); a.Reason != Overloaded {
+		t.Errorf("ended with %q beyond the request limit", a.Reason)
 	}
 }
--- a/internal/edge/log.go
+++ b/internal/edge/log.go
@@ -11,14 +11,14 @@
 	"sycamorekeel.example/sycamorekeel/internal/replica"
 )
 
-// sampleEvery is how many requests that went well there are for each that is
-// logged: a few lines a second at the usual load, to compare failures with.
-const sampleEvery = 64
+// sampleInterval is the number of successful requests per logged one. At the usual load that
+// is a few lines a second, to compare failures with.
+const sampleInterval = 64
 
-// logEnd writes a line for a request that did not end as its contract promises
-// (refused, failed, late, or with shards left out) and for a sample of the others.
-func (e *Engine) logEnd(r *Request, a *Answer) {
-	late := r.Route != nil && r.Route.Objective > 0 && a.Took > r.Route.Objective
+// logRequestEnd logs every request that was refused, failed, was late or left shards out,
+// and a sample of the others.
+func (e *Engine) logRequestEnd(r *Request, a *Answer) {
+	late := r.Route != nil && r.Route.Objective > 0 && a.Elapsed > r.Route.Objective
 	log := e.opts.Logs.Failures
 	if a.Reason == "" && !late && a.Missing == 0 {
 		if !sampled(r.Message.ID) {
@@ -34,19 +34,19 @@
 		zap.Bool("not_run", a.Reason != "" && a.NotRun),
 		zap.Int("sends", a.Sends),
 		zap.Int("missing", a.Missing),
-		zap.Int("budget_refusals", a.Unspent),
-		zap.Duration("age", a.Took),
+		zap.Int("budget_refusals", a.BudgetRefusals),
+		zap.Duration("age", a.Elapsed),
 		zap.Int64("in_flight", e.inFlight.Load()),
 		zap.Duration("retry_after", a.RetryAfter),
 	)
-	if a.Slowest != "" {
-		fields = append(fields, zap.String("slowest_upstream", a.Slowest), zap.Duration("slowest_after", a.SlowestAfter))
+	if a.SlowestUpstream != "" {
+		fields = append(fields, zap.String("slowest_upstream", a.SlowestUpstream), zap.Duration("slowest_after", a.SlowestAfter))
 	}
 	if a.Sends > 0 {
-		fields = append(fields, a.Stages.fields()...)
+		fields = append(fields, a.Stages.logFields()...)
 	}
-	if a.Broken > 0 {
-		fields = append(fields, zap.Int("broken", a.Broken), zap.Int("answered", a.Replied), zap.Stringer("content", r.content()))
+	if a.BrokenSends > 0 {
+		fields = append(fields, zap.Int("broken", a.BrokenSends), zap.Int("answered", a.AnsweredSends), zap.Stringer("content", r.contentFingerprint()))
 	}
 	if r.Route != nil {
 		fields = append(fields, zap.String("route", r.Route.Name), zap.Duration("objective", r.Route.Objective))
@@ -62,15 +62,15 @@
 	log.Info(logring.RequestEnded, fields...)
 }
 
-// sampled picks requests by their id, so that every VM that sees one logs it.
+// sampled selects requests by their id, so that every VM selects the same ones.
 func sampled(id string) bool {
 	h := fnv.New32a()
-	// A hash never fails to write.
+	// Writing to a hash never fails.
 	_, _ = h.Write([]byte(id))
-	return h.Sum32()%sampleEvery == 0
+	return h.Sum32()%sampleInterval == 0
 }
 
-func (s *Stages) fields() []zap.Field {
+func (s *Stages) logFields() []zap.Field {
 	return []zap.Field{
 		zap.Duration("plan", s.Plan.Round(time.Microsecond)),
 		zap.Duration("resend", s.Resend.Round(time.Microsecond)),
@@ -80,16 +80,16 @@
 	}
 }
 
-// logStateChange writes a line when an upstream counts as something else than before.
-func (e *Engine) logStateChange(t replica.StateChange) {
+// logStateChange logs a change of an upstream's state.
+func (e *Engine) logStateChange(c replica.StateChange) {
 	fields := []zap.Field{
-		zap.String("upstream", t.Upstream),
-		zap.String("service", e.serviceOf(t.Upstream)),
-		zap.Stringer("was", t.Was),
-		zap.Stringer("is", t.Is),
-		zap.Float64("slowness", rounded(t.Slowness)),
-		zap.Float64("failures", rounded(t.Failures)),
-		zap.Int("open", t.Open),
+		zap.String("upstream", c.Upstream),
+		zap.String("service", e.serviceOf(c.Upstream)),
+		zap.Stringer("was", c.Was),
+		zap.Stringer("is", c.Is),
+		zap.Float64("slowness", roundToHundredths(c.Slowness)),
+		zap.Float64("failures", roundToHundredths(c.Failures)),
+		zap.Int("open", c.Open),
 	}
 	if v := e.view.Load(); v != nil {
 		fields = append(fields, zap.Uint64("revision", v.Revision))
@@ -97,5 +97,5 @@
 	e.opts.Logs.Changes.Info("upstream: state", fields...)
 }
 
-// rounded is a number with two places, as much as a reader of logs can use.
-func rounded(x float64) float64 { return math.Round(100*x) / 100 }
+// roundToHundredths rounds x to two decimal places.
+func roundToHundredths(x float64) float64 { return math.Round(100*x) / 100 }
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -11,26 +11,26 @@
 	"sycamorekeel.example/sycamorekeel/internal/scatter"
 )
 
-// answeredResult is the label of requests that got an answer.
+// answeredResult is the label value of requests that got an answer.
 const answeredResult = "answered"
 
-// durationBuckets are the answer times in seconds that contracts speak of.
+// durationBuckets holds the answer times in seconds that service objectives use.
 var durationBuckets = []float64{0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 1, 2, 4, 8, 15}
 
-// Metrics counts what an engine does.
+// Metrics holds the metrics of an engine.
 type Metrics struct {
-	requests *prometheus.CounterVec
-	duration *prometheus.HistogramVec
-	partial  prometheus.Counter
-	sends    *prometheus.CounterVec
-	replies  *prometheus.CounterVec
-	budget   *prometheus.CounterVec
-	stages   stageTimes
-	health   *prometheus.CounterVec
-	poison   *poison.Metrics
+	requests       *prometheus.CounterVec
+	duration       *prometheus.HistogramVec
+	partial        prometheus.Counter
+	sends          *prometheus.CounterVec
+	replies        *prometheus.CounterVec
+	budgetRefusals *prometheus.CounterVec
+	stages         stageTimes
+	health         *prometheus.CounterVec
+	poison         *poison.Metrics
 }
 
-// stageTimes is a histogram for each stage.
+// stageTimes holds one histogram for each stage.
 type stageTimes struct {
 	plan, resend, connect, upstream, finish prometheus.Observer
 }
@@ -75,7 +75,7 @@
 		replies: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "sycamorekeel_edge_replies_total", Help: "How sends ended.",
 		}, []string{"result"}),
-		budget: prometheus.NewCounterVec(prometheus.CounterOpts{
+		budgetRefusals: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "sycamorekeel_edge_budget_refusals_total", Help: "Extra sends that the budget did not allow.",
 		}, []string{"kind"}),
 	}
@@ -84,17 +84,17 @@
 	}, []string{"result"})
 	m.stages = newStageTimes(reg)
 	m.poison = poison.NewMetrics(reg)
-	reg.MustRegister(m.requests, m.duration, m.partial, m.sends, m.replies, m.budget, m.health)
+	reg.MustRegister(m.requests, m.duration, m.partial, m.sends, m.replies, m.budgetRefusals, m.health)
 	return m
 }
 
-func (m *Metrics) ended(a *Answer) {
+func (m *Metrics) requestEnded(a *Answer) {
 	result := answeredResult
 	if a.Reason != "" {
 		result = string(a.Reason)
 	}
 	m.requests.WithLabelValues(result).Inc()
-	m.duration.WithLabelValues(result).Observe(a.Took.Seconds())
+	m.duration.WithLabelValues(result).Observe(a.Elapsed.Seconds())
 	if a.Reason == "" {
 		m.stages.observe(&a.Stages)
 	}
@@ -105,9 +105,9 @@
 
 func (m *Metrics) sent(c scatter.Cause) { m.sends.WithLabelValues(string(c)).Inc() }
 
-func (m *Metrics) reply(r scatter.Result) { m.replies.WithLabelValues(r.String()).Inc() }
+func (m *Metrics) sendEnded(r scatter.Result) { m.replies.WithLabelValues(r.String()).Inc() }
 
-// healthChecked counts a health check that ended with an error or without one.
+// healthChecked counts a health check as failed if err is not nil.
 func (m *Metrics) healthChecked(err error) {
 	result := "ok"
 	if err != nil {
@@ -116,7 +116,9 @@
 	m.health.WithLabelValues(result).Inc()
 }
 
-func (m *Metrics) unspent(k retrybudget.Kind) { m.budget.WithLabelValues(k.String()).Inc() }
+func (m *Metrics) budgetRefused(k retrybudget.Kind) {
+	m.budgetRefusals.WithLabelValues(k.String()).Inc()
+}
 
 var (
 	budgetLeft = prometheus.NewDesc("sycamorekeel_edge_budget_left",
@@ -135,8 +137,8 @@
 	e.poison.Describe(out)
 }
 
-// Collect implements prometheus.Collector: budgets and states of upstreams are
-// worked out when they are asked for.
+// Collect implements prometheus.Collector. It computes the budgets and the states of
+// upstreams on each scrape.
 func (e *Engine) Collect(out chan<- prometheus.Metric) {
 	for _, m := range e.gauges(e.now()) {
 		out <- m
@@ -166,7 +168,8 @@
 	return out
 }
 
-// serviceOf is the service of an upstream, empty when it is not known any more.
+// serviceOf returns the service of an upstream, or "" if the upstream is not in the current
+// view.
 func (e *Engine) serviceOf(upstream string) string {
 	if v := e.view.Load(); v != nil && v.Upstreams[upstream] != nil {
 		return v.Upstreams[upstream].Service
--- a/internal/edge/observe_test.go
+++ b/internal/edge/observe_test.go
@@ -21,42 +21,43 @@
 	"sycamorekeel.example/sycamorekeel/internal/traffic"
 )
 
-// observed is an engine whose lines and metrics are looked at.
-type observed struct {
+// testEngine is an engine with access to its log lines and metrics.
+type testEngine struct {
 	*Engine
 	out      bytes.Buffer
 	ring     *logring.Ring
 	registry *prometheus.Registry
 }
 
-func newObserved() *observed {
-	o := &observed{registry: prometheus.NewRegistry()}
-	o.ring = logring.New("v", &o.out, time.Now)
-	o.Engine = New(time.Now(), Options{
+func newTestEngine() *testEngine {
+	e := &testEngine{registry: prometheus.NewRegistry()}
+	e.ring = logring.New("v", &e.out, time.Now)
+	e.Engine = New(time.Now(), Options{
 		Traffic:     &traffic.Meter{},
-		Logs:        o.ring.Loggers(),
-		Metrics:     NewMetrics(o.registry),
+		Logs:        e.ring.Loggers(),
+		Metrics:     NewMetrics(e.registry),
 		Budget:      retrybudget.Limit{Ratio: 0.5, Allowance: 10},
 		MaxRequests: 1,
 		Random:      rand.New(rand.NewPCG(1, 2)),
 		ViewAge:     func() time.Duration { return time.Second },
 	})
-	o.registry.MustRegister(o.Engine)
-	return o
+	e.registry.MustRegister(e.Engine)
+	return e
 }
 
-// lines is what was logged since the last call.
-func (o *observed) lines(t *testing.T) string {
+// lines returns what was logged since the last call.
+func (e *testEngine) lines(t *testing.T) string {
 	t.Helper()
-	if err := o.ring.Flush(); err != nil {
+	if err := e.ring.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	defer o.out.Reset()
-	return o.out.String()
+	defer e.out.Reset()
+	return e.out.String()
 }
 
-// know puts routes in force: one without upstreams and a query.
-func (o *observed) know(upstreams ...*catalog.Upstream) {
+// configure applies a configuration with a plain route and a query route, none of whose
+// services has a listed upstream.
+func (e *testEngine) configure(upstreams ...*catalog.Upstream) {
 	c := &routing.Config{Routes: []routing.Route{
 		{Name: "plain", Host: "h", Prefix: "/p/", Targets: []routing.Target{{Service: "s", Weight: 1}}},
 		{Name: "query", Host: "h", Prefix: "/q/", Shards: []string{"s", "s", "s", "s"}, Priority: 2},
@@ -65,119 +66,118 @@
 	for _, u := range upstreams {
 		v.Upstreams[u.ID] = u
 	}
-	o.SetView(time.Now(), v)
+	e.SetView(time.Now(), v)
 }
 
 func request(path string) *Request {
 	return &Request{Host: "h", Path: path, Received: time.Now(), Message: &direct.Message{ID: "id", Header: &fasthttp.RequestHeader{}}}
 }
 
-// Symptom: callers tell of refusals that no log and no counter shows.
-// Sequence: a request is refused before it reaches the engine, or in a branch of
-// its own.
-// Cause: lines and counters were written at the usual end only.
-func TestEachRefusalHasALineAndACounter(t *testing.T) {
+// Guards against refusals that are neither logged nor counted: a request that is refused
+// before it reaches the engine, or in a branch of its own, bypassed the code that logs and
+// counts.
+func TestEachRefusalIsLoggedAndCounted(t *testing.T) {
 	for _, c := range []struct {
 		reason Reason
-		refuse func(o *observed) Answer
+		refuse func(e *testEngine) Answer
 	}{
-		{Unready, func(o *observed) Answer {
-			o.started = time.Now().Add(-startHold)
-			return o.Serve(request("/p/"))
+		{Unready, func(e *testEngine) Answer {
+			e.started = time.Now().Add(-startupConfigWait)
+			return e.Serve(request("/p/"))
 		}},
-		{NoRoute, func(o *observed) Answer { o.know(); return o.Serve(request("/other/")) }},
-		{Overloaded, func(o *observed) Answer {
-			o.know()
-			o.inFlight.Add(1)
-			return o.Serve(request("/p/"))
+		{NoRoute, func(e *testEngine) Answer { e.configure(); return e.Serve(request("/other/")) }},
+		{Overloaded, func(e *testEngine) Answer {
+			e.configure()
+			e.inFlight.Add(1)
+			return e.Serve(request("/p/"))
 		}},
-		{Congested, func(o *observed) Answer {
-			o.know()
-			crowd(o.Engine, o.View().Table.Lookup("h", "/q/"))
-			return o.Serve(request("/q/"))
+		{Congested, func(e *testEngine) Answer {
+			e.configure()
+			congest(e.Engine, e.View().Table.Lookup("h", "/q/"))
+			return e.Serve(request("/q/"))
 		}},
-		{Reason(scatter.NoUpstream), func(o *observed) Answer {
-			o.know()
+		{Reason(scatter.NoUpstream), func(e *testEngine) Answer {
+			e.configure()
 			r := request("/p/")
 			r.Deadline = 100 * time.Millisecond
-			return o.Serve(r)
+			return e.Serve(r)
 		}},
-		{Poison, func(o *observed) Answer {
-			o.know()
+		{PoisonRequest, func(e *testEngine) Answer {
+			e.configure()
 			for i := range uint32(4) {
 				sent := time.Now().Add(time.Duration(i) * time.Second)
-				o.poison.Crashed(sent, request("/q/").subject(), quarantine.Crash{Start: i, SentAt: sent, EndedAt: sent.Add(time.Millisecond)})
+				e.poison.Crashed(sent, request("/q/").subject(), quarantine.Crash{Start: i, SentAt: sent, EndedAt: sent.Add(time.Millisecond)})
 			}
-			return o.Serve(request("/q/"))
+			return e.Serve(request("/q/"))
 		}},
-		{Malformed, func(o *observed) Answer { return o.Refuse(request("/p/"), Malformed) }},
-		{TooLarge, func(o *observed) Answer { return o.Refuse(request("/p/"), TooLarge) }},
-		{HeadTooLarge, func(o *observed) Answer { return o.Refuse(request("/p/"), HeadTooLarge) }},
-		{TooSlow, func(o *observed) Answer { return o.Refuse(request("/p/"), TooSlow) }},
+		{Malformed, func(e *testEngine) Answer { return e.Refuse(request("/p/"), Malformed) }},
+		{TooLarge, func(e *testEngine) Answer { return e.Refuse(request("/p/"), TooLarge) }},
+		{HeadTooLarge, func(e *testEngine) Answer { return e.Refuse(request("/p/"), HeadTooLarge) }},
+		{TooSlow, func(e *testEngine) Answer { return e.Refuse(request("/p/"), TooSlow) }},
 	} {
-		o := newObserved()
-		if a := c.refuse(o); a.Reason != c.reason || !a.NotRun {
+		e := newTestEngine()
+		if a := c.refuse(e); a.Reason != c.reason || !a.NotRun {
 			t.Errorf("%s: ended with %q, not run %v", c.reason, a.Reason, a.NotRun)
 		}
-		if n := testutil.ToFloat64(o.opts.Metrics.requests.WithLabelValues(string(c.reason))); n != 1 {
+		if n := testutil.ToFloat64(e.opts.Metrics.requests.WithLabelValues(string(c.reason))); n != 1 {
 			t.Errorf("%s: counted %v times", c.reason, n)
 		}
-		if text := o.lines(t); strings.Count(text, `"request":"id","reason":"`+string(c.reason)+`"`) != 1 {
-			t.Errorf("%s: no line says so: %s", c.reason, text)
+		if text := e.lines(t); strings.Count(text, `"request":"id","reason":"`+string(c.reason)+`"`) != 1 {
+			t.Errorf("%s: not logged exactly once: %s", c.reason, text)
 		}
 	}
 }
 
-// crowd brings a route's limiter to where it refuses.
-func crowd(e *Engine, route *routing.Route) {
-	l := e.startScatter(&catalog.View{}, route)
+// congest brings a route's limiter to where it refuses queries.
+func congest(e *Engine, route *routing.Route) {
+	l := e.beginQuery(&catalog.View{}, route)
 	for range 20 {
-		e.startScatter(&catalog.View{}, route)
+		e.beginQuery(&catalog.View{}, route)
 	}
 	for range 20 {
-		e.endScatter(l, &Request{Received: time.Now(), Route: route}, &Answer{Crowded: len(route.Shards)})
+		e.endQuery(l, &Request{Received: time.Now(), Route: route}, &Answer{CongestedParts: len(route.Shards)})
 	}
 	for range 20 {
-		e.startScatter(&catalog.View{}, route)
+		e.beginQuery(&catalog.View{}, route)
 	}
 }
 
-// Attempts that ask the same have the same word in their lines, whatever their ids, where
-// upstreams ended under them.
-func TestLinesTellWhatWasAskedOfUpstreamsThatEnded(t *testing.T) {
-	o := newObserved()
-	o.know()
+// Attempts with the same content must be logged with the same fingerprint, whatever their
+// ids, if upstreams ended under them.
+func TestBrokenSendsAreLoggedWithTheContentFingerprint(t *testing.T) {
+	e := newTestEngine()
+	e.configure()
 	line := func(id, path string) string {
 		r := request(path)
 		r.Message.ID = id
 		r.Message.Header.SetRequestURI(path)
-		o.logEnd(r, &Answer{Reason: Reason(scatter.TooFewParts), Sends: 2, Broken: 2})
-		_, content, _ := strings.Cut(o.lines(t), `"content":"`)
+		e.logRequestEnd(r, &Answer{Reason: Reason(scatter.TooFewParts), Sends: 2, BrokenSends: 2})
+		_, content, _ := strings.Cut(e.lines(t), `"content":"`)
 		content, _, _ = strings.Cut(content, `"`)
 		return content
 	}
 	first := line("1", "/q/x")
 	if len(first) != 32 || first != line("2", "/q/x") || first == line("3", "/q/y") {
-		t.Errorf("contents %q, %q and %q", first, line("2", "/q/x"), line("3", "/q/y"))
+		t.Errorf("fingerprints %q, %q and %q", first, line("2", "/q/x"), line("3", "/q/y"))
 	}
 }
 
-// An upstream that begins to fail or is well again has a line with the grounds,
-// and shows on the metrics address.
-func TestStatesOfUpstreamsAreTold(t *testing.T) {
-	o := newObserved()
+// An upstream that starts to fail or recovers must be logged with the reason and exported as
+// a metric.
+func TestUpstreamStatesAreLoggedAndExported(t *testing.T) {
+	e := newTestEngine()
 	u := &catalog.Upstream{ID: "u", Service: "s"}
-	o.know(u)
+	e.configure(u)
 	now := time.Now()
 	for i := range uint64(2) {
-		o.replicas.Sent(now, "plain", time.Second, u, i, (&direct.Call{}).Waited)
-		o.replicas.Failed(now, u, i)
+		e.replicas.Sent(now, "plain", time.Second, u, i, (&direct.Call{}).Waited)
+		e.replicas.Failed(now, u, i)
 	}
-	o.Tick(now)
-	text := o.lines(t)
+	e.Tick(now)
+	text := e.lines(t)
 	for _, want := range []string{`"upstream: state"`, `"upstream":"u"`, `"was":"usable"`, `"is":"failing"`, `"revision":7`, `"service":"s"`} {
 		if !strings.Contains(text, want) {
-			t.Errorf("%s is not in %s", want, text)
+			t.Errorf("%s is missing from %s", want, text)
 		}
 	}
 	want := `
@@ -185,37 +185,37 @@
 # TYPE sycamorekeel_edge_upstream_state gauge
 sycamorekeel_edge_upstream_state{service="s",state="failing",upstream="u"} 1
 `
-	if err := testutil.GatherAndCompare(o.registry, strings.NewReader(want), "sycamorekeel_edge_upstream_state"); err != nil {
+	if err := testutil.GatherAndCompare(e.registry, strings.NewReader(want), "sycamorekeel_edge_upstream_state"); err != nil {
 		t.Error(err)
 	}
-	o.Tick(now.Add(10 * time.Second))
-	if text := o.lines(t); !strings.Contains(text, `"is":"usable"`) {
-		t.Errorf("well again, and no line says so: %s", text)
+	e.Tick(now.Add(10 * time.Second))
+	if text := e.lines(t); !strings.Contains(text, `"is":"usable"`) {
+		t.Errorf("recovery is not logged: %s", text)
 	}
-	if n, err := testutil.GatherAndCount(o.registry, "sycamorekeel_edge_upstream_state"); err != nil || n != 0 {
-		t.Errorf("%d upstreams in trouble, %v", n, err)
+	if n, err := testutil.GatherAndCount(e.registry, "sycamorekeel_edge_upstream_state"); err != nil || n != 0 {
+		t.Errorf("%d upstreams are not usable, want none (%v)", n, err)
 	}
 }
 
-// The gauge of the budget is what may still be spent: eight requests earn four, and
-// hedges leave a quarter of a bucket of four beyond the first.
-func TestBudgetLeftIsShown(t *testing.T) {
-	o := newObserved()
-	o.know()
-	o.countRequest([]string{"s", "s", "s", "s", "s", "s", "s", "s"})
+// The gauge shows what may still be spent: eight requests earn four extra sends, and hedges
+// leave a quarter of a bucket of four beyond the first.
+func TestBudgetLeftIsExported(t *testing.T) {
+	e := newTestEngine()
+	e.configure()
+	e.countRequest([]string{"s", "s", "s", "s", "s", "s", "s", "s"})
 	want := `
 # HELP sycamorekeel_edge_budget_left Extra sends to a service that the retry budget allows this VM now.
 # TYPE sycamorekeel_edge_budget_left gauge
 sycamorekeel_edge_budget_left{kind="hedge",service="s"} 3.25
 sycamorekeel_edge_budget_left{kind="retry",service="s"} 4
 `
-	if err := testutil.GatherAndCompare(o.registry, strings.NewReader(want), "sycamorekeel_edge_budget_left"); err != nil {
+	if err := testutil.GatherAndCompare(e.registry, strings.NewReader(want), "sycamorekeel_edge_budget_left"); err != nil {
 		t.Error(err)
 	}
 }
 
-// The stages of a request add up to its time, whichever send answered last.
-func TestStagesAddUp(t *testing.T) {
+// The stages of a request must add up to its total time, whichever send answered last.
+func TestStagesAddUpToTheTotal(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	first, hedge := send{sentAt: at(2)}, send{sentAt: at(30)}
@@ -233,14 +233,14 @@
 	}
 }
 
-// Of the requests that go well a fixed sample has a line, the same on each VM.
-func TestGoodRequestsAreSampled(t *testing.T) {
-	if n := sampledOf(64 * 1000); n < 800 || n > 1200 {
-		t.Errorf("%d of 64000 are sampled", n)
+// A fixed sample of the successful requests must be logged, the same on each VM.
+func TestSuccessfulRequestsAreSampled(t *testing.T) {
+	if n := countSampled(64 * 1000); n < 800 || n > 1200 {
+		t.Errorf("%d of 64000 are sampled, want 800 to 1200", n)
 	}
 }
 
-func sampledOf(n int) int {
+func countSampled(n int) int {
 	hits := 0
 	for i := range n {
 		if sampled(strings.Repeat("x", i%7) + string(rune('a'+i%26)) + time.Duration(i).String()) {
@@ -250,47 +250,47 @@
 	return hits
 }
 
-// What the line of a refused request costs, encoding and all.
-func BenchmarkLoggedDecision(b *testing.B) {
-	o := newObserved()
-	o.know()
+// Measures the log line of a refused request, with its encoding.
+func BenchmarkLoggedRequest(b *testing.B) {
+	e := newTestEngine()
+	e.configure()
 	r := request("/p/")
-	r.Route = o.View().Table.Lookup("h", "/p/")
-	a := Answer{Reason: Congested, NotRun: true, Sends: 3, Slowest: "u", Took: 40 * time.Millisecond}
+	r.Route = e.View().Table.Lookup("h", "/p/")
+	a := Answer{Reason: Congested, NotRun: true, Sends: 3, SlowestUpstream: "u", Elapsed: 40 * time.Millisecond}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		if i%100 == 0 {
 			b.StopTimer()
-			if err := o.ring.Flush(); err != nil {
+			if err := e.ring.Flush(); err != nil {
 				b.Fatal(err)
 			}
-			o.out.Reset()
+			e.out.Reset()
 			b.StartTimer()
 		}
-		o.logEnd(r, &a)
+		e.logRequestEnd(r, &a)
 	}
 }
 
-// What a request costs that goes well and is not in the sample.
-func BenchmarkUnloggedDecision(b *testing.B) {
-	o := newObserved()
-	o.know()
+// Measures a successful request that is not in the sample.
+func BenchmarkUnsampledRequest(b *testing.B) {
+	e := newTestEngine()
+	e.configure()
 	r := request("/p/")
 	r.Message.ID = "id"
-	r.Route = o.View().Table.Lookup("h", "/p/")
-	a := Answer{Sends: 1, Took: 0}
+	r.Route = e.View().Table.Lookup("h", "/p/")
+	a := Answer{Sends: 1, Elapsed: 0}
 	b.ReportAllocs()
 	for b.Loop() {
-		o.logEnd(r, &a)
+		e.logRequestEnd(r, &a)
 	}
 }
 
-// What the metrics of one request cost.
+// Measures the metrics of one request.
 func BenchmarkRequestMetrics(b *testing.B) {
-	o := newObserved()
-	a := Answer{Sends: 1, Took: time.Millisecond}
+	e := newTestEngine()
+	a := Answer{Sends: 1, Elapsed: time.Millisecond}
 	b.ReportAllocs()
 	for b.Loop() {
-		o.opts.Metrics.ended(&a)
+		e.opts.Metrics.requestEnded(&a)
 	}
 }
--- a/internal/edge/poison.go
+++ b/internal/edge/poison.go
@@ -13,42 +13,44 @@
 	"sycamorekeel.example/sycamorekeel/internal/scatter"
 )
 
-// heldRetry lets the trial of a suspect end.
-const heldRetry = time.Second
+// suspectHeldRetry gives the trial of a suspect time to end.
+const suspectHeldRetry = time.Second
 
-// admit tells how a request may be run, by what is known of others that asked the same.
+// admit decides whether a request may run, given what earlier requests with the same content
+// did to upstreams.
 func (e *Engine) admit(r *Request) quarantine.Admission {
 	if e.poison.Empty() {
 		return quarantine.Admission{}
 	}
-	return e.poison.Admit(e.now, e.random, r.subject())
+	return e.poison.Admit(e.now, e.randomFloat, r.subject())
 }
 
-// subject is the request in words to the guard.
+// subject returns the request in the form that the poison guard takes.
 func (r *Request) subject() poison.Subject {
-	return poison.Subject{Content: r.content(), Fields: []zap.Field{
+	return poison.Subject{Content: r.contentFingerprint(), Fields: []zap.Field{
 		zap.String("request", r.Message.ID), zap.String("host", r.Host), zap.String("path", r.Path),
 	}}
 }
 
-// blocked tells whether it has become known meanwhile, here or at a peer, that a request
-// crashes upstreams.
+// blocked reports whether the request is now known, from this VM or a peer, to crash
+// upstreams.
 func (e *Engine) blocked(now time.Time, r *Request) bool {
-	return !e.poison.Empty() && e.poison.Blocked(now, r.content())
+	return !e.poison.Empty() && e.poison.Blocked(now, r.contentFingerprint())
 }
 
-// startOf names an upstream and its start, in a few bytes.
-func startOf(u *catalog.Upstream) uint32 {
+// instanceHash returns a short hash that identifies one start of an upstream.
+func instanceHash(u *catalog.Upstream) uint32 {
 	h := fnv.New32a()
-	// A hash never fails to write.
+	// Writing to a hash never fails.
 	_, _ = h.Write([]byte(u.ID))
 	_, _ = h.Write([]byte(strconv.FormatInt(u.Born.UnixNano(), 16)))
 	return h.Sum32()
 }
 
-// judge takes in what a reply shows of the request itself. An upstream that closed its
-// connection under it is looked at: it may have ended, of this request or another.
-func (x *run) judge(s *send, now time.Time) {
+// trackCrash records whether the upstream survived the request. If the upstream closed the
+// connection without an answer, it checks whether the process has ended; that may be due to
+// this request or another.
+func (x *run) trackCrash(s *send, now time.Time) {
 	e := x.engine
 	switch r := s.reply.Result; {
 	case r.Survived():
@@ -56,31 +58,31 @@
 			e.poison.Survived(now, x.req.subject())
 		}
 	case (r == scatter.Broken || r == scatter.Shut) && !x.survived.Load():
-		x.broken = true
-		// Worked out here, as the check ends in another goroutine.
+		x.connectionBroken = true
+		// Computed here because the check ends in another goroutine.
 		subject := x.req.subject()
-		crash := quarantine.Crash{Start: startOf(s.call.Upstream), SentAt: s.sentAt, EndedAt: now}
-		e.check(s.call.Upstream, func(ended bool) { x.checked(ended, subject, crash) })
+		crash := quarantine.Crash{Start: instanceHash(s.call.Upstream), SentAt: s.sentAt, EndedAt: now}
+		e.checkEnded(s.call.Upstream, func(ended bool) { x.crashChecked(ended, subject, crash) })
 	}
 }
 
-// checked takes in whether an upstream that closed its connection has ended.
-func (x *run) checked(ended bool, subject poison.Subject, crash quarantine.Crash) {
+// crashChecked records a crash if the upstream that closed its connection has ended.
+func (x *run) crashChecked(ended bool, subject poison.Subject, crash quarantine.Crash) {
 	if !ended || x.survived.Load() {
 		return
 	}
 	e := x.engine
 	e.poison.Crashed(e.now(), subject, crash)
-	if x.over.Load() {
+	if x.finished.Load() {
 		e.poison.Unanswered(subject.Content)
 	}
 }
 
-// close ends the run: what is known of a request that no upstream has survived is told to
+// close ends the run. If no upstream has survived the request, it tells the guard to inform
 // peers.
 func (x *run) close() {
-	x.over.Store(true)
-	if x.broken && !x.survived.Load() {
-		x.engine.poison.Unanswered(x.req.content())
+	x.finished.Store(true)
+	if x.connectionBroken && !x.survived.Load() {
+		x.engine.poison.Unanswered(x.req.contentFingerprint())
 	}
 }
--- a/internal/edge/poison_test.go
+++ b/internal/edge/poison_test.go
@@ -16,103 +16,105 @@
 	"sycamorekeel.example/sycamorekeel/internal/scatter"
 )
 
-// The load of these tests: some VMs before the services of load_test.go, in virtual time,
-// with words between VMs that take crashWord, of which some are lost.
+// The simulated setup: several VMs with the services of load_test.go, in virtual time.
+// Gossip between VMs takes gossipDelay, and some of it is lost.
 const (
-	// crashWork is how long a request that crashes its upstream runs.
-	crashWork = 10 * time.Millisecond
-	// crashDown is how long an upstream is down after a crash, crashCheck how long it takes
-	// to find out that nobody listens there.
-	crashDown  = 3 * time.Second
-	crashCheck = 20 * time.Millisecond
-	crashWord  = 15 * time.Millisecond
-	// crashContact is the operators' shortest bound on how long a VM has been in contact with
-	// the others when it must have heard of a request's third crash, crashMost how many
-	// upstreams it may reach from then on.
-	crashContact = 5 * time.Second
-	crashMost    = 3
+	// crashLatency is how long a poison request runs before its upstream crashes.
+	crashLatency = 10 * time.Millisecond
+	// crashDowntime is how long an upstream is down after a crash, crashCheckDelay how long
+	// a VM takes to find out that its address refuses connections.
+	crashDowntime   = 3 * time.Second
+	crashCheckDelay = 20 * time.Millisecond
+	gossipDelay     = 15 * time.Millisecond
+	// propagationBound is the shortest bound that operators set on the time a VM has been
+	// connected to the others when it must know of a request's third crash, maxLaterSends
+	// the maximum number of upstreams that the request may reach after that.
+	propagationBound = 5 * time.Second
+	maxLaterSends    = 3
 )
 
-// crashes is several VMs, each an engine, whose upstreams end under some requests.
-type crashes struct {
+// crashSim simulates several VMs, each with an engine, whose upstreams crash under some
+// requests.
+type crashSim struct {
 	*sim
-	vms  []*crashVM
+	vms  []*simVM
 	down map[string]time.Time
-	// running holds, for each upstream, what to do with the requests there when it ends.
+	// running holds, for each upstream, the functions that end its requests when it crashes.
 	running map[string]map[int]func()
-	// ended is when each of the crashes of the request at fault was, later how often VMs in
-	// contact sent it to upstreams after the third.
-	ended []time.Time
-	later int
-	// innocent counts the requests at no fault, refused the attempts at them that were
-	// refused for what was held against them, unserved those that failed twice.
-	innocent, refused, unserved int
-	// lost is the part of the words that do not arrive.
-	lost float64
-	// faults draws which upstreams end when, the same in each run of a seed.
-	faults *rand.Rand
-	// blind says that VMs do not find out which upstreams ended, and so hold nothing
-	// against any request.
-	blind bool
+	// crashTimes holds the time of each crash by the poison request. laterSends counts its
+	// sends to upstreams, after the third crash, by VMs that are connected.
+	crashTimes []time.Time
+	laterSends int
+	// harmless counts the harmless requests, refused their attempts that were refused by the
+	// quarantine, unserved those that failed twice.
+	harmless, refused, unserved int
+	// gossipLoss is the fraction of gossip messages that are lost.
+	gossipLoss float64
+	// crashRand draws which upstreams crash and when, the same in each run of a seed.
+	crashRand *rand.Rand
+	// noQuarantine makes VMs unaware of crashes, so that they quarantine no request.
+	noQuarantine bool
 }
 
-// crashVM is one VM of them.
-type crashVM struct {
+// simVM is one simulated VM.
+type simVM struct {
 	*sim
-	fleet *crashes
-	// dark VMs hear and tell nothing; since is since when this one is in contact.
-	dark  bool
-	since time.Time
-	// calls gives the request of a call, by its message.
-	calls map[*direct.Message]*attempted
+	fleet *crashSim
+	// isolated VMs send and receive no gossip; connectedSince is when the VM was last
+	// connected.
+	isolated       bool
+	connectedSince time.Time
+	// calls maps the message of a call to its attempt.
+	calls map[*direct.Message]*simAttempt
 }
 
-// attempted is an attempt under way and what its caller does with its answer.
-type attempted struct {
-	*load
+// simAttempt is an attempt in progress, with the function that gets its answer.
+type simAttempt struct {
+	*simRequest
 	done func(Answer)
 }
 
-// crashSeeds and blameSeeds are how many runs each row has. At blameRate requests a second
-// the draws of two runs differ by a third of what the check allows.
+// crashSeeds and harmlessSeeds are the numbers of runs for each case. At harmlessRate
+// requests a second the random difference between two runs is a third of what the check
+// allows.
 const (
-	crashSeeds = 2
-	blameSeeds = 4
-	blameRate  = 200
+	crashSeeds    = 2
+	harmlessSeeds = 4
+	harmlessRate  = 200
 )
 
 const poisonPath = "/q/poison"
 
-func newCrashes(seed uint64, vms int) *crashes {
-	c := &crashes{sim: newSim(seed), down: map[string]time.Time{}, running: map[string]map[int]func(){}, lost: 0.1, faults: rand.New(rand.NewPCG(seed, 9))}
+func newCrashSim(seed uint64, vms int) *crashSim {
+	c := &crashSim{sim: newSim(seed), down: map[string]time.Time{}, running: map[string]map[int]func(){}, gossipLoss: 0.1, crashRand: rand.New(rand.NewPCG(seed, 9))}
 	for i := range vms {
 		c.vms = append(c.vms, c.newVM(seed*1000+uint64(i)))
 	}
 	return c
 }
 
-func (c *crashes) newVM(seed uint64) *crashVM {
-	v := &crashVM{sim: newSim(seed), fleet: c, since: c.clock.Now(), calls: map[*direct.Message]*attempted{}}
+func (c *crashSim) newVM(seed uint64) *simVM {
+	v := &simVM{sim: newSim(seed), fleet: c, connectedSince: c.clock.Now(), calls: map[*direct.Message]*simAttempt{}}
 	e := v.engine
 	e.now = c.clock.Now
-	e.do = v.call
-	e.check = func(u *catalog.Upstream, told func(bool)) {
-		c.clock.At(c.clock.Now().Add(crashCheck), func() {
-			told(c.isDown(u.ID) && !c.blind)
-			v.tell()
+	e.startCall = v.call
+	e.checkEnded = func(u *catalog.Upstream, report func(bool)) {
+		c.clock.At(c.clock.Now().Add(crashCheckDelay), func() {
+			report(c.isDown(u.ID) && !c.noQuarantine)
+			v.gossip()
 		})
 	}
 	return v
 }
 
-func (c *crashes) isDown(id string) bool { return c.clock.Now().Before(c.down[id]) }
+func (c *crashSim) isDown(id string) bool { return c.clock.Now().Before(c.down[id]) }
 
-// end ends an upstream and everything that runs there.
-func (c *crashes) end(id string) {
+// crash ends an upstream and all requests that run there.
+func (c *crashSim) crash(id string) {
 	if c.isDown(id) {
 		return
 	}
-	c.down[id] = c.clock.Now().Add(crashDown)
+	c.down[id] = c.clock.Now().Add(crashDowntime)
 	running := c.running[id]
 	delete(c.running, id)
 	for _, n := range slices.Sorted(maps.Keys(running)) {
@@ -120,98 +122,98 @@
 	}
 }
 
-// upstreams is the names of all upstreams, in order.
-func (c *crashes) upstreams() []string { return slices.Sorted(maps.Keys(c.view.Upstreams)) }
+// upstreams returns the sorted ids of all upstreams.
+func (c *crashSim) upstreams() []string { return slices.Sorted(maps.Keys(c.view.Upstreams)) }
 
-// ask brings a request to a VM, which runs it, holds it or refuses it.
-func (v *crashVM) ask(path string, attempt int, done func(a Answer)) {
+// request sends a request to a VM, which runs it, holds it or refuses it.
+func (v *simVM) request(path string, attempt int, done func(a Answer)) {
 	c := v.fleet
 	h := &fasthttp.RequestHeader{}
 	h.SetRequestURI(path)
-	r := &Request{Host: "h", Path: path, Received: c.clock.Now(), Deadline: simDeadline, Message: &direct.Message{ID: fmt.Sprint(path, "#", attempt, "@", c.asks), Header: h}}
+	r := &Request{Host: "h", Path: path, Received: c.clock.Now(), Deadline: simDeadline, Message: &direct.Message{ID: fmt.Sprint(path, "#", attempt, "@", c.arrivals), Header: h}}
 	r.Route = v.view.Table.Lookup("h", path)
 	w := quarantine.Wait(c.clock.Now(), c.rand.Float64())
 	v.admit(r, &w, done)
 }
 
-// admit does what Engine.serve does for a request, in virtual time.
-func (v *crashVM) admit(r *Request, w *quarantine.Waiting, done func(a Answer)) {
+// admit does in virtual time what Engine.serve does.
+func (v *simVM) admit(r *Request, w *quarantine.Waiting, done func(a Answer)) {
 	c := v.fleet
-	a := v.engine.poison.Step(c.clock.Now(), r.content(), w)
+	a := v.engine.poison.Step(c.clock.Now(), r.contentFingerprint(), w)
 	switch {
 	case !a.Again.IsZero():
 		c.clock.At(a.Again, func() { v.admit(r, w, done) })
 		return
 	case a.Standing == quarantine.Blocked:
-		done(refuse(Poison, a.Until.Sub(c.clock.Now())))
+		done(refuse(PoisonRequest, a.Until.Sub(c.clock.Now())))
 		return
 	case a.Held:
-		done(refuse(Held, heldRetry))
+		done(refuse(SuspectHeld, suspectHeldRetry))
 		return
 	}
 	r.trial = a.Standing == quarantine.Suspect
-	v.tell()
-	l := &attempted{&load{run: v.engine.newRun(v.view, r)}, done}
-	v.calls[r.Message] = l
-	v.step(l, func() { l.dispatch(l.query.Start(c.clock.Now())) })
+	v.gossip()
+	q := &simAttempt{&simRequest{run: v.engine.newRun(v.view, r)}, done}
+	v.calls[r.Message] = q
+	v.step(q, func() { q.dispatch(q.query.Start(c.clock.Now())) })
 }
 
-// step moves an attempt on and plans its next wake.
-func (v *crashVM) step(l *attempted, move func()) {
+// step runs move on an attempt and schedules its next step.
+func (v *simVM) step(q *simAttempt, move func()) {
 	c := v.fleet
-	if l.counted {
+	if q.counted {
 		return
 	}
 	move()
-	v.tell()
-	if verdict := l.query.Verdict(); verdict != nil {
-		l.counted = true
-		delete(v.calls, l.req.Message)
-		l.withdraw()
-		l.close()
-		v.tell()
-		l.done(l.answer(verdict))
+	v.gossip()
+	if verdict := q.query.Verdict(); verdict != nil {
+		q.counted = true
+		delete(v.calls, q.req.Message)
+		q.cancelOpen()
+		q.close()
+		v.gossip()
+		q.done(q.answer(verdict))
 		return
 	}
-	c.clock.At(l.query.Next(), func() {
-		v.step(l, func() { l.dispatch(l.query.Tick(c.clock.Now())) })
+	c.clock.At(q.query.Next(), func() {
+		v.step(q, func() { q.dispatch(q.query.Tick(c.clock.Now())) })
 	})
 }
 
-// call carries one send: an upstream that is down cannot be reached, and what runs at one
-// ends with it.
-func (v *crashVM) call(call *direct.Call) {
+// call simulates one send. An upstream that is down cannot be reached, and requests that run
+// at an upstream end when it crashes.
+func (v *simVM) call(call *direct.Call) {
 	c := v.fleet
-	l := v.calls[call.Message]
+	q := v.calls[call.Message]
 	u := call.Upstream
 	sent := c.clock.Now()
 	reply := func(r scatter.Result) {
-		v.step(l, func() {
+		v.step(q, func() {
 			call.Done(direct.Reply{Result: r, Took: c.clock.Now().Sub(sent), Response: &fasthttp.Response{}})
-			l.takeReplies()
+			q.takeReplies()
 		})
 	}
 	if c.isDown(u.ID) {
 		c.clock.At(c.clock.Now().Add(time.Millisecond), func() { reply(scatter.Unreached) })
 		return
 	}
-	c.asks++
-	n := c.asks
+	c.arrivals++
+	n := c.arrivals
 	if c.running[u.ID] == nil {
 		c.running[u.ID] = map[int]func(){}
 	}
 	c.running[u.ID][n] = func() { c.clock.At(c.clock.Now(), func() { reply(scatter.Broken) }) }
-	if l.req.Path == poisonPath {
+	if q.req.Path == poisonPath {
 		v.countPoison()
-		c.clock.At(c.clock.Now().Add(crashWork), func() {
-			if _, runs := c.running[u.ID][n]; runs && !l.counted {
-				c.ended = append(c.ended, c.clock.Now())
-				c.end(u.ID)
+		c.clock.At(c.clock.Now().Add(crashLatency), func() {
+			if _, runs := c.running[u.ID][n]; runs && !q.counted {
+				c.crashTimes = append(c.crashTimes, c.clock.Now())
+				c.crash(u.ID)
 			}
 		})
 		return
 	}
-	c.clock.At(c.clock.Now().Add(c.usual(u)), func() {
+	c.clock.At(c.clock.Now().Add(c.healthyLatency(u)), func() {
 		if _, runs := c.running[u.ID][n]; runs {
 			delete(c.running[u.ID], n)
 			reply(scatter.Answered)
@@ -219,86 +221,86 @@
 	})
 }
 
-// countPoison counts a send of the request at fault, if operators' bound holds for it.
-func (v *crashVM) countPoison() {
+// countPoison counts a send of the poison request if the operators' bound applies to it.
+func (v *simVM) countPoison() {
 	c := v.fleet
-	if len(c.ended) < 3 || v.dark {
+	if len(c.crashTimes) < 3 || v.isolated {
 		return
 	}
-	if c.clock.Now().Sub(c.ended[2]) > crashContact && c.clock.Now().Sub(v.since) > crashContact {
-		c.later++
+	if c.clock.Now().Sub(c.crashTimes[2]) > propagationBound && c.clock.Now().Sub(v.connectedSince) > propagationBound {
+		c.laterSends++
 	}
 }
 
-// tell carries what is new from a VM to the others, as package node does.
-func (v *crashVM) tell() {
+// gossip sends new quarantine entries to the other VMs, as package node does.
+func (v *simVM) gossip() {
 	c := v.fleet
 	entries, _ := v.engine.poison.News(c.clock.Now())
-	v.send(entries, c.vms)
+	v.gossipTo(entries, c.vms)
 }
 
-func (v *crashVM) send(entries []quarantine.Entry, to []*crashVM) {
+func (v *simVM) gossipTo(entries []quarantine.Entry, to []*simVM) {
 	c := v.fleet
-	if len(entries) == 0 || v.dark {
+	if len(entries) == 0 || v.isolated {
 		return
 	}
 	for _, peer := range to {
-		if peer == v || c.rand.Float64() < c.lost {
+		if peer == v || c.rand.Float64() < c.gossipLoss {
 			continue
 		}
-		c.clock.At(c.clock.Now().Add(crashWord), func() {
-			if !peer.dark {
+		c.clock.At(c.clock.Now().Add(gossipDelay), func() {
+			if !peer.isolated {
 				peer.engine.poison.Learn(c.clock.Now(), "peer", entries, 0)
 			}
 		})
 	}
 }
 
-// play runs until simEnd; once a second VMs repeat what they know to two others.
-func (c *crashes) play() {
+// simulate runs until simEnd. Once a second each VM repeats its entries to two others.
+func (c *crashSim) simulate() {
 	for d := time.Second; d < simEnd; d += time.Second {
 		c.clock.At(c.start.Add(d), func() {
 			for _, v := range c.vms {
 				v.engine.Tick(c.clock.Now())
 				v.engine.poison.Expire(c.clock.Now())
-				v.tell()
-				peers := []*crashVM{c.vms[c.rand.IntN(len(c.vms))], c.vms[c.rand.IntN(len(c.vms))]}
-				v.send(v.engine.poison.Repeat(c.clock.Now()), peers)
+				v.gossip()
+				peers := []*simVM{c.vms[c.rand.IntN(len(c.vms))], c.vms[c.rand.IntN(len(c.vms))]}
+				v.gossipTo(v.engine.poison.Repeat(c.clock.Now()), peers)
 			}
 		})
 	}
 	c.clock.Run()
 }
 
-// poison brings the request at fault to VMs drawn at random, and once more to another VM
-// when it has failed, as callers do.
-func (c *crashes) poison(at time.Duration, path string) {
+// schedulePoison sends the poison request to a random VM, and if it fails to another one, as
+// callers do.
+func (c *crashSim) schedulePoison(at time.Duration, path string) {
 	c.clock.At(c.start.Add(at), func() {
-		c.anyVM().ask(path, 1, func(a Answer) {
+		c.anyVM().request(path, 1, func(a Answer) {
 			if a.Reason != "" {
-				c.clock.At(c.clock.Now().Add(min(a.RetryAfter, 300*time.Millisecond)), func() { c.anyVM().ask(path, 2, func(Answer) {}) })
+				c.clock.At(c.clock.Now().Add(min(a.RetryAfter, 300*time.Millisecond)), func() { c.anyVM().request(path, 2, func(Answer) {}) })
 			}
 		})
 	})
 }
 
-func (c *crashes) anyVM() *crashVM { return c.vms[c.rand.IntN(len(c.vms))] }
+func (c *crashSim) anyVM() *simVM { return c.vms[c.rand.IntN(len(c.vms))] }
 
-// callers bring a request of other content each 1/rate seconds, and once more to another VM
-// when it has failed.
-func (c *crashes) callers(rate int, from, to time.Duration) {
+// scheduleHarmless sends requests of different content every 1/rate seconds to random VMs,
+// and those that fail once more.
+func (c *crashSim) scheduleHarmless(rate int, from, to time.Duration) {
 	for at, i := from, 0; at < to; at, i = at+time.Second/time.Duration(rate), i+1 {
 		path := fmt.Sprintf("/%c/%d", "qp"[i%2], i)
 		c.clock.At(c.start.Add(at), func() {
-			c.innocent++
-			c.anyVM().ask(path, 1, func(a Answer) {
-				c.count(a)
+			c.harmless++
+			c.anyVM().request(path, 1, func(a Answer) {
+				c.countRefused(a)
 				if a.Reason == "" {
 					return
 				}
 				c.clock.At(c.clock.Now().Add(min(a.RetryAfter, 300*time.Millisecond)+time.Millisecond), func() {
-					c.anyVM().ask(path, 2, func(a Answer) {
-						c.count(a)
+					c.anyVM().request(path, 2, func(a Answer) {
+						c.countRefused(a)
 						if a.Reason != "" {
 							c.unserved++
 						}
@@ -309,40 +311,39 @@
 	}
 }
 
-func (c *crashes) count(a Answer) {
-	if a.Reason == Poison || a.Reason == Held {
+func (c *crashSim) countRefused(a Answer) {
+	if a.Reason == PoisonRequest || a.Reason == SuspectHeld {
 		c.refused++
 	}
 }
 
-// Symptom: upstreams of a service end by the dozen under one request, long after every VM
-// could know of it.
-// Sequence: each row is a way in which it comes: once, in series, at several VMs in the same
-// moment, after a pause; words between VMs are lost, and VMs start or are cut off meanwhile.
-// Cause: each VM began anew with each attempt. What is counted is what operators bound: the
-// sends that reach upstreams later than the time to hear of the third crash.
-func TestAPoisonRequestIsWithheldByAllVMs(t *testing.T) {
+// Guards against a poison request that crashes upstreams by the dozen long after every VM
+// could know of it, because each VM starts anew with each attempt. The request comes once,
+// in series, at several VMs in the same moment, or after a pause; gossip is lost, and VMs
+// start or are isolated meanwhile. The test bounds what operators bound: the sends that
+// reach upstreams after the time to learn of the third crash.
+func TestPoisonRequestIsWithheldByAllVMs(t *testing.T) {
 	const s = time.Second
 	for _, row := range []struct {
 		name string
 		at   []time.Duration
 		path string
 	}{
-		{"one a second", eachGap(time.Second, 1, 29), poisonPath},
-		{"ten a second", eachGap(100*time.Millisecond, 1, 29), poisonPath},
-		{"bursts", burst(12, 1*s, 8*s, 16*s, 24*s), poisonPath},
-		{"one, and bursts later", append([]time.Duration{1 * s}, burst(12, 8*s, 16*s, 24*s)...), poisonPath},
-		{"each seven seconds", []time.Duration{1 * s, 8 * s, 15 * s, 22 * s, 29 * s}, poisonPath},
+		{"one a second", periodic(time.Second, 1, 29), poisonPath},
+		{"ten a second", periodic(100*time.Millisecond, 1, 29), poisonPath},
+		{"bursts", bursts(12, 1*s, 8*s, 16*s, 24*s), poisonPath},
+		{"one, and bursts later", append([]time.Duration{1 * s}, bursts(12, 8*s, 16*s, 24*s)...), poisonPath},
+		{"every seven seconds", []time.Duration{1 * s, 8 * s, 15 * s, 22 * s, 29 * s}, poisonPath},
 	} {
 		for seed := range uint64(crashSeeds) {
-			c := newCrashes(seed+1, 9)
-			c.callers(40, 0, simEnd)
+			c := newCrashSim(seed+1, 9)
+			c.scheduleHarmless(40, 0, simEnd)
 			for _, at := range row.at {
-				c.poison(at, row.path)
+				c.schedulePoison(at, row.path)
 			}
-			// A VM that is cut off for a while, and one that starts.
-			c.clock.At(c.start.Add(6*s), func() { c.vms[1].dark = true })
-			c.clock.At(c.start.Add(10*s), func() { c.vms[1].dark, c.vms[1].since = false, c.clock.Now() })
+			// One VM is isolated for a while, and one starts late.
+			c.clock.At(c.start.Add(6*s), func() { c.vms[1].isolated = true })
+			c.clock.At(c.start.Add(10*s), func() { c.vms[1].isolated, c.vms[1].connectedSince = false, c.clock.Now() })
 			c.clock.At(c.start.Add(9*s), func() {
 				late := c.newVM(seed + 77)
 				for _, e := range c.vms[0].engine.poison.All(c.clock.Now(), 100) {
@@ -350,22 +351,22 @@
 				}
 				c.vms = append(c.vms, late)
 			})
-			c.play()
-			t.Logf("%s, seed %d: %d upstreams ended, %d sends later; of %d others %d refused, %d unserved", row.name, seed, len(c.ended), c.later, c.innocent, c.refused, c.unserved)
-			if len(c.ended) < 3 {
-				t.Errorf("%s, seed %d: %d upstreams ended: the request does nothing", row.name, seed, len(c.ended))
+			c.simulate()
+			t.Logf("%s, seed %d: %d upstreams crashed, %d later sends; of %d harmless requests %d refused, %d unserved", row.name, seed, len(c.crashTimes), c.laterSends, c.harmless, c.refused, c.unserved)
+			if len(c.crashTimes) < 3 {
+				t.Errorf("%s, seed %d: %d upstreams crashed, want at least 3", row.name, seed, len(c.crashTimes))
 			}
-			if c.later > crashMost {
-				t.Errorf("%s, seed %d: sent %d times later on", row.name, seed, c.later)
+			if c.laterSends > maxLaterSends {
+				t.Errorf("%s, seed %d: sent %d times after the propagation bound", row.name, seed, c.laterSends)
 			}
 			if c.refused > 0 {
-				t.Errorf("%s, seed %d: of %d requests at no fault %d were refused", row.name, seed, c.innocent, c.refused)
+				t.Errorf("%s, seed %d: of %d harmless requests %d were refused", row.name, seed, c.harmless, c.refused)
 			}
 		}
 	}
 }
 
-func eachGap(gap time.Duration, from, to int) []time.Duration {
+func periodic(gap time.Duration, from, to int) []time.Duration {
 	var out []time.Duration
 	for at := time.Duration(from) * time.Second; at < time.Duration(to)*time.Second; at += gap {
 		out = append(out, at)
@@ -373,8 +374,8 @@
 	return out
 }
 
-// burst is so many attempts within a tenth of a second at each of some times.
-func burst(n int, at ...time.Duration) []time.Duration {
+// bursts returns n attempts within a tenth of a second after each of the given times.
+func bursts(n int, at ...time.Duration) []time.Duration {
 	r := rand.New(rand.NewPCG(uint64(n), 3))
 	var out []time.Duration
 	for _, a := range at {
@@ -385,69 +386,67 @@
 	return out
 }
 
-// Symptom: requests are refused, or held up, after upstreams have ended for reasons of their
-// own.
-// Sequence: each row ends many upstreams under the requests that they have; the same is asked
-// again later, by callers who try twice.
-// Cause: a crash was held against whoever was there.
-func TestRequestsAreNotBlamedForCrashesOfUpstreams(t *testing.T) {
+// Guards against requests that are refused or held because upstreams crashed for other
+// reasons while they ran. Each case crashes many upstreams under the requests they run;
+// callers try twice.
+func TestUnrelatedCrashesDoNotQuarantineRequests(t *testing.T) {
 	const s = time.Second
 	for _, row := range []struct {
-		name string
-		ends func(c *crashes)
+		name  string
+		crash func(c *crashSim)
 	}{
-		{"all at once", func(c *crashes) { c.endSome(1) }},
-		{"half at once", func(c *crashes) { c.endSome(0.5) }},
-		{"all within a second", func(c *crashes) {
+		{"all at once", func(c *crashSim) { c.crashFraction(1) }},
+		{"half at once", func(c *crashSim) { c.crashFraction(0.5) }},
+		{"all within a second", func(c *crashSim) {
 			for _, id := range c.upstreams() {
-				c.clock.At(c.clock.Now().Add(time.Duration(c.faults.Int64N(int64(time.Second)))), func() { c.end(id) })
+				c.clock.At(c.clock.Now().Add(time.Duration(c.crashRand.Int64N(int64(time.Second)))), func() { c.crash(id) })
 			}
 		}},
-		{"all within 20 ms", func(c *crashes) {
+		{"all within 20 ms", func(c *crashSim) {
 			for _, id := range c.upstreams() {
-				c.clock.At(c.clock.Now().Add(time.Duration(c.faults.Int64N(int64(20*time.Millisecond)))), func() { c.end(id) })
+				c.clock.At(c.clock.Now().Add(time.Duration(c.crashRand.Int64N(int64(20*time.Millisecond)))), func() { c.crash(id) })
 			}
 		}},
-		{"one after the other", func(c *crashes) {
+		{"one after the other", func(c *crashSim) {
 			i := 0
 			for _, id := range c.upstreams() {
-				c.clock.At(c.clock.Now().Add(time.Duration(i)*150*time.Millisecond), func() { c.end(id) })
+				c.clock.At(c.clock.Now().Add(time.Duration(i)*150*time.Millisecond), func() { c.crash(id) })
 				i++
 			}
 		}},
 	} {
-		unserved, without, asked := 0, 0, 0
-		for seed := range uint64(blameSeeds) {
-			play := func(blind bool) *crashes {
-				c := newCrashes(seed+1, 9)
-				c.blind = blind
-				c.callers(blameRate, 0, simEnd)
+		unserved, baseline, total := 0, 0, 0
+		for seed := range uint64(harmlessSeeds) {
+			simulate := func(noQuarantine bool) *crashSim {
+				c := newCrashSim(seed+1, 9)
+				c.noQuarantine = noQuarantine
+				c.scheduleHarmless(harmlessRate, 0, simEnd)
 				for _, at := range []time.Duration{4 * s, 12 * s, 20 * s} {
-					c.clock.At(c.start.Add(at), func() { row.ends(c) })
+					c.clock.At(c.start.Add(at), func() { row.crash(c) })
 				}
-				c.play()
+				c.simulate()
 				return c
 			}
-			c, blind := play(false), play(true)
-			unserved, without, asked = unserved+c.unserved, without+blind.unserved, asked+c.innocent
+			c, unaware := simulate(false), simulate(true)
+			unserved, baseline, total = unserved+c.unserved, baseline+unaware.unserved, total+c.harmless
 			if c.refused > 0 {
-				t.Errorf("%s, seed %d: of %d requests at no fault %d were refused", row.name, seed, c.innocent, c.refused)
+				t.Errorf("%s, seed %d: of %d harmless requests %d were refused", row.name, seed, c.harmless, c.refused)
 			}
 		}
-		t.Logf("| %s | %d | %d | %d |", row.name, asked, unserved, without)
-		// As many are served as by VMs that hold nothing against anybody, but for what the
-		// draws of two runs differ by.
-		if unserved-without > asked/200 {
-			t.Errorf("%s: of %d requests %d were not served, and %d without a quarantine", row.name, asked, unserved, without)
+		t.Logf("| %s | %d | %d | %d |", row.name, total, unserved, baseline)
+		// The quarantine must not cost more requests than the random difference between two
+		// runs.
+		if unserved-baseline > total/200 {
+			t.Errorf("%s: of %d requests %d were not served, and %d without a quarantine", row.name, total, unserved, baseline)
 		}
 	}
 }
 
-// endSome ends a part of the upstreams in this moment.
-func (c *crashes) endSome(part float64) {
+// crashFraction crashes a random fraction of the upstreams at once.
+func (c *crashSim) crashFraction(part float64) {
 	for _, id := range c.upstreams() {
-		if c.faults.Float64() < part {
-			c.end(id)
+		if c.crashRand.Float64() < part {
+			c.crash(id)
 		}
 	}
 }
--- a/internal/edge/policy.go
+++ b/internal/edge/policy.go
@@ -20,7 +20,7 @@
 	ahead := e.pools.Ahead(now, candidates)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.replicas.Choose(now, x.req.Route.Name, x.usual, candidates, ahead, tried)
+	return e.replicas.Choose(now, x.req.Route.Name, x.defaultLatency, candidates, ahead, tried)
 }
 
 // Reachable implements scatter.Policy.
@@ -32,27 +32,27 @@
 	return e.replicas.Reachable(e.now(), candidates)
 }
 
-// candidates is the upstreams that may be given a part. They are those in force now and not
-// those of the request's own view: one that has begun to leave meanwhile takes no new work.
+// candidates returns the upstreams that may be given a part. It uses the current view and
+// not the request's own: an upstream that has started to leave since takes no new work.
 func (x *run) candidates(part int) []*catalog.Upstream {
 	v := x.engine.view.Load()
 	service := x.plan.Services[part]
-	out := x.engine.atHome(v.Services[service], x.homes(v))
-	if _, bound := x.engine.coldBound(v, service); !bound {
+	out := x.engine.inHomes(v.Services[service], x.homes(v))
+	if _, limited := x.engine.coldLimitedService(v, service); !limited {
 		return out
 	}
 	return slices.DeleteFunc(slices.Clone(out), func(u *catalog.Upstream) bool { return !x.engine.warm(v, u) })
 }
 
-// Why an upstream may not be given a request that was planned for it.
+// Reasons why an upstream may no longer be given a request that was planned for it.
 const (
 	barredLeaving = "takes no new work, or its data centre is evacuated"
 	barredHomes   = "outside the homes of the route"
 	barredCold    = "cold, or not known to be warm"
 )
 
-// barred is why the request may not be given to an upstream by what is in force now, empty
-// when it may.
+// barred returns why the current view forbids sending the request to an upstream, or "" if
+// it does not.
 func (x *run) barred(u *catalog.Upstream) string {
 	v := x.engine.view.Load()
 	switch {
@@ -67,8 +67,8 @@
 	}
 }
 
-// atHome is the upstreams that are in some homes.
-func (e *Engine) atHome(upstreams []*catalog.Upstream, homes routing.Homes) []*catalog.Upstream {
+// inHomes returns the upstreams that are in the given home regions.
+func (e *Engine) inHomes(upstreams []*catalog.Upstream, homes routing.Homes) []*catalog.Upstream {
 	if !homes.Bound() {
 		return upstreams
 	}
@@ -81,21 +81,22 @@
 	return out
 }
 
-// homes is where the request may be served: in the homes of its route as it was planned,
-// and in those that the route has now.
+// homes returns the regions that may serve the request: those that are homes of its route
+// both at planning time and now.
 func (x *run) homes(v *catalog.View) routing.Homes {
-	own := x.req.Route.Homes
+	planned := x.req.Route.Homes
 	if v == x.view || v.Table == nil {
-		return own
+		return planned
 	}
-	now := v.Table.Lookup(x.req.Host, x.req.Path)
-	if now == nil {
-		return own
+	current := v.Table.Lookup(x.req.Host, x.req.Path)
+	if current == nil {
+		return planned
 	}
-	return own.And(now.Homes)
+	return planned.And(current.Homes)
 }
 
-// regionOf is the region of an upstream, empty when the settings do not name its data centre.
+// regionOf returns the region of an upstream, or "" if the settings do not name its data
+// centre.
 func (e *Engine) regionOf(u *catalog.Upstream) string { return e.opts.Place.Regions[u.DataCentre] }
 
 // Spend implements scatter.Policy.
@@ -105,8 +106,8 @@
 	ok := e.budget(x.plan.Services[part]).Spend(e.now(), kind)
 	e.mu.Unlock()
 	if !ok {
-		x.unspent++
-		e.opts.Metrics.unspent(kind)
+		x.budgetRefusals++
+		e.opts.Metrics.budgetRefused(kind)
 	}
 	return ok
 }
@@ -116,5 +117,5 @@
 	e := x.engine
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.replicas.HedgeDelay(e.now(), x.req.Route.Name, x.usual, objective(x.req.Route)-answerMargin, u)
+	return e.replicas.HedgeDelay(e.now(), x.req.Route.Name, x.defaultLatency, objective(x.req.Route)-objectiveMargin, u)
 }
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -13,30 +13,31 @@
 	"sycamorekeel.example/sycamorekeel/internal/sockpeek"
 )
 
-// Request is one request of a caller.
+// Request is one request from a caller.
 type Request struct {
 	Host string
-	// Path is the target's path, as sent.
+	// Path is the path of the request target, as sent.
 	Path    string
 	Message *direct.Message
 	// Received is when the request was read.
 	Received time.Time
-	// Deadline is how long the caller waits from then; 0 when it does not say.
+	// Deadline is how long the caller waits from Received; 0 if it sets no deadline.
 	Deadline time.Duration
-	// Conn is the caller's connection, to see whether it is still there; may be
+	// Conn is the caller's connection, used to detect that the caller has left. It may be
 	// nil.
 	Conn net.Conn
-	// Route is set once it is found.
+	// Route is the matched route; nil before the lookup.
 	Route *routing.Route
-	// trial says that the request is a suspect, which is tried at one upstream first.
+	// trial marks a suspect, which is tried at one upstream first.
 	trial bool
-	// fingerprint is what content works out, zero before.
+	// fingerprint caches the result of contentFingerprint; zero before the first call.
 	fingerprint fingerprint.Fingerprint
 }
 
-// content identifies what is asked. It is worked out when it is needed, which is when
-// upstreams end under requests: the hash of a large body takes a weak VM milliseconds.
-func (r *Request) content() fingerprint.Fingerprint {
+// contentFingerprint identifies the content of the request. It is computed on first use,
+// which is when upstreams end under requests: hashing a large body takes a slow VM
+// milliseconds.
+func (r *Request) contentFingerprint() fingerprint.Fingerprint {
 	if r.fingerprint == (fingerprint.Fingerprint{}) {
 		h := r.Message.Header
 		r.fingerprint = fingerprint.Of(string(h.Method()), routing.NormalHost(r.Host), string(h.RequestURI()), r.Message.Body)
@@ -44,113 +45,115 @@
 	return r.fingerprint
 }
 
-// wait is how long the request may take from Received.
-func (r *Request) wait() time.Duration {
-	wait := noDeadline
+// timeout returns how long the request may take from Received.
+func (r *Request) timeout() time.Duration {
+	timeout := defaultTimeout
 	if r.Deadline > 0 {
-		wait = min(wait, r.Deadline-giveUpMargin)
+		timeout = min(timeout, r.Deadline-deadlineMargin)
 	}
 	if r.Route.Timeout > 0 {
-		wait = min(wait, r.Route.Timeout)
+		timeout = min(timeout, r.Route.Timeout)
 	}
-	return wait
+	return timeout
 }
 
-// gone tells whether the caller has closed its connection.
-func (r *Request) gone() bool {
+// callerGone reports whether the caller has closed its connection.
+func (r *Request) callerGone() bool {
 	return r.Conn != nil && sockpeek.Look(r.Conn) == sockpeek.Ended
 }
 
-// Reason says why a request was refused or failed; it is the same word in the
-// answer, the log and the metrics. The reasons of scatter are used as they are.
+// Reason says why a request was refused or failed. The answer, the log and the metrics use
+// the same value. Reasons of package scatter are converted unchanged.
 type Reason string
 
-// Reasons beside those of scatter.
+// Reasons in addition to those of package scatter.
 const (
-	// Unready: no configuration is known yet.
+	// Unready: there is no configuration yet.
 	Unready Reason = "unready"
-	// NoRoute: no route takes the request.
+	// NoRoute: no route matches the request.
 	NoRoute Reason = "no_route"
-	// NoUpstreamAtHome: no upstream that takes work is in a home of the route.
+	// NoUpstreamAtHome: no upstream in a home region of the route accepts work.
 	NoUpstreamAtHome Reason = "no_upstream_at_home"
-	// Evacuated: all upstreams that could take the request are in evacuated data centres.
+	// Evacuated: all upstreams that could run the request are in evacuated data centres.
 	Evacuated Reason = "evacuated"
-	// ColdUpstreams: all upstreams that could take the request are cold, and bear too little.
+	// ColdUpstreams: all upstreams that could run the request are cold and sustain too few
+	// requests.
 	ColdUpstreams Reason = "cold_upstreams"
-	// Overloaded: too many requests are in flight on this VM.
+	// Overloaded: too many requests are in flight on this VM, or its scheduling delay is too
+	// high.
 	Overloaded Reason = "overloaded"
-	// Congested: the upstreams of the query's shards have no room for more.
+	// Congested: the upstreams of the query's shards are at their capacity.
 	Congested Reason = "congested"
-	// Poison: upstreams crash under the request, so that it is sent to none.
-	Poison Reason = "poison_request"
-	// Held: upstreams have ended under the request, and others are trying it.
-	Held Reason = "suspect_held"
-	// Gone: the caller closed its connection.
-	Gone Reason = "caller_gone"
-	// Malformed: the request breaks the interface's rules.
+	// PoisonRequest: the request crashes upstreams and is sent to none.
+	PoisonRequest Reason = "poison_request"
+	// SuspectHeld: upstreams have ended under the request, and other attempts are trying it.
+	SuspectHeld Reason = "suspect_held"
+	// CallerGone: the caller closed its connection.
+	CallerGone Reason = "caller_gone"
+	// Malformed: the request violates the protocol.
 	Malformed Reason = "malformed"
-	// TooLarge: the body is over the limit.
+	// TooLarge: the body exceeds the limit.
 	TooLarge Reason = "body_too_large"
-	// HeadTooLarge: the head is over the limit.
+	// HeadTooLarge: the request line and headers exceed the limit.
 	HeadTooLarge Reason = "head_too_large"
 	// TooSlow: the request did not arrive in time.
 	TooSlow Reason = "request_too_slow"
 )
 
-// Waits that refusals recommend.
+// Retry times that refusals recommend.
 const (
-	// unreadyRetry is for processes that have not learnt the configuration within startHold:
-	// the store and all peers are away, or start as well.
+	// unreadyRetry applies when no configuration arrived within startupConfigWait: the store
+	// and all peers are unreachable or starting as well.
 	unreadyRetry = 800 * time.Millisecond
-	// overloadRetry lets about a dozen requests of the usual kind finish.
+	// overloadRetry lets about a dozen ordinary requests finish.
 	overloadRetry = 300 * time.Millisecond
 	// refusedRetry lets a full upstream free a slot.
 	refusedRetry = 100 * time.Millisecond
-	// noUpstreamRetry is half of what upstreams whose entries have lapsed take to register
-	// again: half of the callers that come meanwhile return when they have.
+	// noUpstreamRetry is half the time that upstreams with lapsed entries take to register
+	// again, so that half of the callers refused meanwhile return after that.
 	noUpstreamRetry = time.Second
 )
 
-// Answer is how a request ended.
+// Answer is the outcome of a request.
 type Answer struct {
-	// Reason is empty when there is an answer.
+	// Reason is empty if the request was answered.
 	Reason Reason
-	// NotRun says that no upstream has run the request or will.
+	// NotRun says that no upstream has run the request or will run it.
 	NotRun bool
-	// RetryAfter is when to come back; 0 recommends nothing.
+	// RetryAfter is the recommended time until a retry; 0 for no recommendation.
 	RetryAfter time.Duration
-	// Response is an upstream's own answer, whole; nil for a merged answer or a
+	// Response is the unchanged response of one upstream; nil for a merged answer or a
 	// refusal.
 	Response *fasthttp.Response
-	// Proofs, Missing and Body are a merged answer: the signatures of its parts,
-	// the number of shards that are left out, and the records.
+	// Proofs, Missing and Body describe a merged answer: the signatures of its parts, the
+	// number of missing shards, and the merged records.
 	Proofs  []string
 	Missing int
 	Body    []byte
-	// Crowded is how many parts found no room at an upstream.
-	Crowded int
-	// Sends is how often upstreams were asked.
+	// CongestedParts is how many parts were refused by a full upstream.
+	CongestedParts int
+	// Sends is the number of sends to upstreams.
 	Sends int
-	// Broken is how many of the sends ended with their connection, without a byte of an
-	// answer, and Replied how many brought a part.
-	Broken, Replied int
-	// Slowest is the upstream whose reply came last, and SlowestAfter how long
-	// after Received; empty when none replied.
-	Slowest      string
-	SlowestAfter time.Duration
-	// Unspent is how many extra sends the retry budget did not allow.
-	Unspent int
-	// Stages is where the time went.
+	// BrokenSends is how many sends ended with the connection closed before any byte of an
+	// answer, AnsweredSends how many were answered.
+	BrokenSends, AnsweredSends int
+	// SlowestUpstream is the upstream whose reply came last and SlowestAfter the time from
+	// Received until then. SlowestUpstream is empty if none replied.
+	SlowestUpstream string
+	SlowestAfter    time.Duration
+	// BudgetRefusals is how many extra sends the retry budget refused.
+	BudgetRefusals int
+	// Stages is how long each stage of the request took.
 	Stages Stages
-	// Took is the time from Received.
-	Took time.Duration
+	// Elapsed is the time from Received to the end of the request.
+	Elapsed time.Duration
 }
 
 func refuse(reason Reason, after time.Duration) Answer {
 	return Answer{Reason: reason, NotRun: true, RetryAfter: after}
 }
 
-// retryAfter is when a caller may come back after a query that ran nothing.
+// retryAfter returns when a caller may retry a request that has not run.
 func retryAfter(reason scatter.Reason) time.Duration {
 	if reason == scatter.NoUpstream {
 		return noUpstreamRetry
--- a/internal/edge/run.go
+++ b/internal/edge/run.go
@@ -13,30 +13,30 @@
 	"sycamorekeel.example/sycamorekeel/internal/scatter"
 )
 
-// run drives one query.
+// run is the execution of one request.
 type run struct {
-	engine *Engine
-	view   *catalog.View
-	req    *Request
-	plan   scatter.Plan
-	query  *scatter.Query
-	usual  time.Duration
-	sends  []send
-	inbox  inbox
-	goneAt time.Time
-	// last is the send whose reply came last, nil before any.
+	engine          *Engine
+	view            *catalog.View
+	req             *Request
+	plan            scatter.Plan
+	query           *scatter.Query
+	defaultLatency  time.Duration
+	sends           []send
+	replies         replyQueue
+	nextCallerCheck time.Time
+	// last is the send whose reply came last; nil before the first reply.
 	last   *send
 	lastAt time.Time
-	// unspent is how many extra sends the budget refused.
-	unspent int
-	// survived says that an upstream has run the request and lives, over that the run has
-	// ended. Checks of upstreams read them from elsewhere.
-	survived, over atomic.Bool
-	// broken says that upstreams have closed their connections under the request.
-	broken bool
+	// budgetRefusals is how many extra sends the budget refused.
+	budgetRefusals int
+	// survived says that an upstream has run the request without crashing, finished that the
+	// run has ended. Crash checks read both from other goroutines.
+	survived, finished atomic.Bool
+	// connectionBroken says that an upstream has closed its connection under the request.
+	connectionBroken bool
 }
 
-// send is one send of a run.
+// send is one attempt to run a part at an upstream.
 type send struct {
 	id      uint64
 	part    int
@@ -45,47 +45,48 @@
 	sentAt  time.Time
 	reply   direct.Reply
 	replied bool
-	// withdrawn says that its answer is not waited for any more.
-	withdrawn bool
+	// cancelled says that the run no longer waits for the reply.
+	cancelled bool
 }
 
-// open tells whether the send's answer is waited for.
-func (s *send) open() bool { return !s.replied && !s.withdrawn }
+// open reports whether the run still waits for the send's reply.
+func (s *send) open() bool { return !s.replied && !s.cancelled }
 
-// crowdedOut tells whether the upstream refused the send for want of room. One that reports
-// free slots refuses for a fault of its own; one that reports nothing is taken to be full.
-func (s *send) crowdedOut() bool {
+// refusedFull reports whether the upstream refused the send because it was full. An upstream
+// that reports free slots refuses because of its own failure; one that reports no load is
+// assumed to be full.
+func (s *send) refusedFull() bool {
 	return s.reply.Result == scatter.Refused && (s.reply.Load == nil || !s.reply.Load.Room())
 }
 
-// inbox collects the replies of a run. It never blocks those who put.
-type inbox struct {
-	mu     sync.Mutex
-	got    []numbered
-	signal chan struct{}
+// replyQueue collects the replies of a run. put never blocks.
+type replyQueue struct {
+	mu      sync.Mutex
+	pending []attemptReply
+	signal  chan struct{}
 }
 
-type numbered struct {
+type attemptReply struct {
 	attempt int
 	reply   direct.Reply
 }
 
-func (b *inbox) put(n numbered) {
-	b.mu.Lock()
-	b.got = append(b.got, n)
-	b.mu.Unlock()
+func (q *replyQueue) put(r attemptReply) {
+	q.mu.Lock()
+	q.pending = append(q.pending, r)
+	q.mu.Unlock()
 	select {
-	case b.signal <- struct{}{}:
+	case q.signal <- struct{}{}:
 	default:
 	}
 }
 
-func (b *inbox) take() []numbered {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	got := b.got
-	b.got = nil
-	return got
+func (q *replyQueue) take() []attemptReply {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	pending := q.pending
+	q.pending = nil
+	return pending
 }
 
 func (e *Engine) run(v *catalog.View, r *Request) Answer {
@@ -94,16 +95,16 @@
 	return x.drive()
 }
 
-// newRun plans a query; nothing is sent yet.
+// newRun plans a request and sends nothing.
 func (e *Engine) newRun(v *catalog.View, r *Request) *run {
-	x := &run{engine: e, view: v, req: r, plan: e.plan(r), usual: usual(r.Route)}
-	x.inbox.signal = make(chan struct{}, 1)
+	x := &run{engine: e, view: v, req: r, plan: e.plan(r), defaultLatency: defaultLatency(r.Route)}
+	x.replies.signal = make(chan struct{}, 1)
 	x.query = scatter.New(x.plan, x)
 	e.countRequest(x.plan.Services)
 	return x
 }
 
-// countRequest counts a request in the budgets of its services.
+// countRequest counts a request in the retry budgets of its services.
 func (e *Engine) countRequest(services []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -112,108 +113,108 @@
 	}
 }
 
-// drive steps the query until it has its verdict or the caller is gone.
+// drive steps the query until it has a verdict or the caller is gone.
 func (x *run) drive() Answer {
 	now := x.engine.now()
-	x.goneAt = now.Add(goneEvery)
+	x.nextCallerCheck = now.Add(callerCheckInterval)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	x.dispatch(x.query.Start(now))
 	for x.query.Verdict() == nil {
-		timer.Reset(x.wakeAt().Sub(x.engine.now()))
+		timer.Reset(x.nextWake().Sub(x.engine.now()))
 		select {
-		case <-x.inbox.signal:
+		case <-x.replies.signal:
 			x.takeReplies()
 		case <-timer.C:
 			x.dispatch(x.query.Tick(x.engine.now()))
 		}
 		if x.callerGone() {
-			x.withdraw()
-			return Answer{Reason: Gone, Sends: len(x.sends)}
+			x.cancelOpen()
+			return Answer{Reason: CallerGone, Sends: len(x.sends)}
 		}
 	}
-	x.withdraw()
+	x.cancelOpen()
 	return x.answer(x.query.Verdict())
 }
 
-// wakeAt is when something is due.
-func (x *run) wakeAt() time.Time {
-	if next := x.query.Next(); next.Before(x.goneAt) {
+// nextWake returns when the query or the caller must be checked next.
+func (x *run) nextWake() time.Time {
+	if next := x.query.Next(); next.Before(x.nextCallerCheck) {
 		return next
 	}
-	return x.goneAt
+	return x.nextCallerCheck
 }
 
-// callerGone looks now and then whether the caller is still there. Without it,
-// upstreams would go on with work whose answer nobody takes.
+// callerGone checks every callerCheckInterval whether the caller is still connected. Without
+// the check, upstreams would go on with work whose answer is not used.
 func (x *run) callerGone() bool {
 	now := x.engine.now()
-	if now.Before(x.goneAt) {
+	if now.Before(x.nextCallerCheck) {
 		return false
 	}
-	x.goneAt = now.Add(goneEvery)
-	return x.req.gone()
+	x.nextCallerCheck = now.Add(callerCheckInterval)
+	return x.req.callerGone()
 }
 
 func (x *run) takeReplies() {
-	for _, n := range x.inbox.take() {
+	for _, r := range x.replies.take() {
 		now := x.engine.now()
-		s := &x.sends[n.attempt]
-		s.reply = n.reply
+		s := &x.sends[r.attempt]
+		s.reply = r.reply
 		s.replied = true
 		x.last, x.lastAt = s, now
-		x.learn(now, s)
-		x.judge(s, now)
-		x.dispatch(x.query.Ended(now, n.attempt, n.reply.Result))
-		if n.reply.Result == scatter.Answered {
-			x.withdrawPart(s.part)
+		x.recordReply(now, s)
+		x.trackCrash(s, now)
+		x.dispatch(x.query.Ended(now, r.attempt, r.reply.Result))
+		if r.reply.Result == scatter.Answered {
+			x.cancelPart(s.part)
 		}
 	}
 }
 
-// learn notes what a reply shows of its upstream.
-func (x *run) learn(now time.Time, s *send) {
+// recordReply updates the metrics, the log and the upstream's statistics with a reply.
+func (x *run) recordReply(now time.Time, s *send) {
 	e := x.engine
-	e.opts.Metrics.reply(s.reply.Result)
+	e.opts.Metrics.sendEnded(s.reply.Result)
 	if s.reply.Result != scatter.Answered {
 		x.logFailed(s)
 	}
-	turn, turned, window := x.note(now, s)
+	change, changed, window := x.updateReplica(now, s)
 	e.pools.SetWindow(s.call.Upstream, window)
-	if turned {
-		e.logStateChange(turn)
+	if changed {
+		e.logStateChange(change)
 	}
 }
 
-// logFailed writes a line for a send without an answer, with what was asked when the
-// upstream may have ended under it.
+// logFailed logs a send without an answer. If the upstream may have ended under it, the line
+// includes the fingerprint of the request.
 func (x *run) logFailed(s *send) {
-	fields := x.fields(s, zap.Stringer("result", s.reply.Result), zap.String("detail", s.reply.Detail))
+	fields := x.logFields(s, zap.Stringer("result", s.reply.Result), zap.String("detail", s.reply.Detail))
 	if l := s.reply.Load; l != nil {
 		fields = append(fields, zap.Int("running", l.Running), zap.Int("waiting", l.Waiting), zap.Int("slots", l.Slots), zap.Float64("pace", l.Pace))
 	}
 	if s.reply.Result == scatter.Broken {
-		fields = append(fields, zap.Stringer("content", x.req.content()))
+		fields = append(fields, zap.Stringer("content", x.req.contentFingerprint()))
 	}
 	x.engine.opts.Logs.Failures.Info("edge: send failed", fields...)
 }
 
-// note gives a reply to what is kept of its upstream, and tells whether that
-// counts as something else now, and how many sends to it may be open.
-func (x *run) note(now time.Time, s *send) (turn replica.StateChange, turned bool, window int) {
+// updateReplica updates the statistics of the upstream that replied. It returns the change
+// of the upstream's state, if any, and how many sends to the upstream may be open.
+func (x *run) updateReplica(now time.Time, s *send) (change replica.StateChange, changed bool, window int) {
 	e := x.engine
 	u := s.call.Upstream
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch s.reply.Result {
 	case scatter.Answered:
-		e.replicas.Answered(now, x.req.Route.Name, x.usual, u, s.id, s.reply.Took)
+		e.replicas.Answered(now, x.req.Route.Name, x.defaultLatency, u, s.id, s.reply.Took)
 	case scatter.Unreached:
 		e.replicas.Unreachable(now, u, s.id)
 	case scatter.Expired, scatter.Shut, scatter.NoConnection, scatter.Barred:
 		e.replicas.Unsent(u, s.id)
 	case scatter.Refused:
-		if s.crowdedOut() {
+		if s.refusedFull() {
 			e.replicas.Refused(now, u, s.id)
 		} else {
 			e.replicas.Failed(now, u, s.id)
@@ -221,12 +222,12 @@
 	default:
 		e.replicas.Failed(now, u, s.id)
 	}
-	turn, turned = e.replicas.StateChanged(now, u.ID)
-	return turn, turned, e.replicas.Window(u)
+	change, changed = e.replicas.StateChanged(now, u.ID)
+	return change, changed, e.replicas.Window(u)
 }
 
-// fields is what every log line of a send has.
-func (x *run) fields(s *send, more ...zap.Field) []zap.Field {
+// logFields returns the fields common to all log lines of a send.
+func (x *run) logFields(s *send, more ...zap.Field) []zap.Field {
 	return append([]zap.Field{
 		zap.String("request", x.req.Message.ID),
 		zap.String("route", x.req.Route.Name),
@@ -255,49 +256,49 @@
 		Priority: x.req.Route.Priority,
 		Extra:    s.Cause != scatter.First,
 		Barred:   func() string { return x.barred(s.Upstream) },
-		Done:     func(r direct.Reply) { x.inbox.put(numbered{s.Attempt, r}) },
+		Done:     func(r direct.Reply) { x.replies.put(attemptReply{s.Attempt, r}) },
 	}
 	e.mu.Lock()
 	e.sends++
 	id := e.sends
-	e.replicas.Sent(now, x.req.Route.Name, x.usual, s.Upstream, id, call.Waited)
+	e.replicas.Sent(now, x.req.Route.Name, x.defaultLatency, s.Upstream, id, call.Waited)
 	e.mu.Unlock()
 	x.sends = append(x.sends, send{id: id, part: s.Part, call: call, cause: s.Cause, sentAt: now})
 	e.opts.Metrics.sent(s.Cause)
 	if s.Cause != scatter.First {
-		e.opts.Logs.Failures.Info("edge: sent again", x.fields(&x.sends[s.Attempt])...)
+		e.opts.Logs.Failures.Info("edge: sent again", x.logFields(&x.sends[s.Attempt])...)
 	}
-	e.do(call)
+	e.startCall(call)
 }
 
-// withdraw ends the interest in the sends that are still open.
-func (x *run) withdraw() {
+// cancelOpen cancels all sends that are still open.
+func (x *run) cancelOpen() {
 	for i := range x.sends {
 		if s := &x.sends[i]; s.open() {
-			x.withdrawSend(s)
+			x.cancelSend(s)
 		}
 	}
 }
 
-// withdrawPart ends the other sends of a part that has its answer. Left to run,
-// they hold slots of upstreams that are slow as it is, and their answers cross
-// between regions for nothing. Each such connection is lost and opened anew.
-func (x *run) withdrawPart(part int) {
+// cancelPart cancels the other sends of a part that has been answered. Otherwise they would
+// hold slots of upstreams that are already slow, and their answers would cross regions
+// unused. Each cancelled send costs its connection, which must be opened again.
+func (x *run) cancelPart(part int) {
 	for i := range x.sends {
 		if s := &x.sends[i]; s.part == part && s.open() {
-			x.withdrawSend(s)
+			x.cancelSend(s)
 		}
 	}
 }
 
-// withdrawSend ends the interest in a send.
-func (x *run) withdrawSend(s *send) {
+// cancelSend cancels one send.
+func (x *run) cancelSend(s *send) {
 	e := x.engine
 	now := e.now()
-	s.withdrawn = true
+	s.cancelled = true
 	s.call.Withdraw()
 	e.mu.Lock()
-	e.replicas.Abandoned(now, x.req.Route.Name, x.usual, s.call.Upstream, s.id, now.Sub(s.sentAt)-s.call.Waited(now))
+	e.replicas.Abandoned(now, x.req.Route.Name, x.defaultLatency, s.call.Upstream, s.id, now.Sub(s.sentAt)-s.call.Waited(now))
 	window := e.replicas.Window(s.call.Upstream)
 	e.mu.Unlock()
 	e.pools.SetWindow(s.call.Upstream, window)
--- a/internal/edge/shares.go
+++ b/internal/edge/shares.go
@@ -1,27 +1,27 @@
 package edge
 
-// carrierShare is the part of the fleet's bounds that the VMs share out to which
-// callers are sent. The rest is for the others: callers come to them while they
-// keep an older answer of the directory, and views differ for a moment.
-const carrierShare = 0.8
+// ingressShare is the fraction of the fleet limits that is divided among the VMs that
+// callers are directed to. The rest goes to the other VMs: callers reach them while they use
+// an outdated directory answer, and the VMs' views may differ for a moment.
+const ingressShare = 0.8
 
-// Shares is how a bound on all VMs together is shared out.
+// Shares describes how a limit for the whole fleet is divided among the VMs.
 type Shares struct {
-	// VMs is how many VMs there are.
+	// VMs is the number of VMs.
 	VMs int
-	// Carriers is how many of them callers are sent to.
+	// Carriers is the number of VMs that callers are directed to.
 	Carriers int
-	// Carrying says that this VM is one of them.
+	// Carrying says that callers are directed to this VM.
 	Carrying bool
 }
 
-// of is this VM's part of a bound.
-func (s *Shares) of(bound float64) float64 {
+// portion returns this VM's share of a limit.
+func (s *Shares) portion(bound float64) float64 {
 	if s.Carriers <= 0 || s.Carriers >= s.VMs {
-		return bound * carrierShare / float64(max(1, s.VMs))
+		return bound * ingressShare / float64(max(1, s.VMs))
 	}
 	if s.Carrying {
-		return bound * carrierShare / float64(s.Carriers)
+		return bound * ingressShare / float64(s.Carriers)
 	}
-	return bound * (1 - carrierShare) / float64(s.VMs-s.Carriers)
+	return bound * (1 - ingressShare) / float64(s.VMs-s.Carriers)
 }
--- a/internal/edge/stages.go
+++ b/internal/edge/stages.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// Stages is where a request's time went, on the path of the reply that came last:
-// what the answer waited for longest. They add up to the whole.
+// Stages divides the time of a request along the path of the reply that came last, because
+// the answer waited for that reply longest. The stages add up to the total time.
 type Stages struct {
-	// Plan is from reading the request to its first send.
+	// Plan lasts from reading the request to its first send.
 	Plan time.Duration
-	// Resend is from there to the send of the last reply: 0 for a first send.
+	// Resend lasts from the first send to the send that got the last reply; 0 if they are
+	// the same.
 	Resend time.Duration
-	// Connect is the wait for a connection to its upstream.
+	// Connect is the wait for a connection to the upstream.
 	Connect time.Duration
-	// Upstream is from writing to it until its answer is whole.
+	// Upstream lasts from writing the request to the upstream until its answer is complete.
 	Upstream time.Duration
-	// Finish is the rest: waiting for parts that never came, and merging. It is
-	// all of a request without a reply.
+	// Finish is the remaining time: waiting for parts that never came, and merging. It is
+	// the total time of a request without a reply.
 	Finish time.Duration
 }
 
-// stagesOf are the stages up to the last reply, that of send s, which came at
+// stagesOf returns all stages but Finish; s is the send of the last reply, which came at
 // repliedAt.
 func stagesOf(r *Request, first, s *send, repliedAt time.Time) Stages {
 	upstream := s.reply.Took
@@ -30,7 +31,7 @@
 	}
 }
 
-// finish closes the account of a request that took so long.
+// finish sets Finish for a request whose total time is took.
 func (s *Stages) finish(took time.Duration) {
 	s.Finish = max(0, took-s.Plan-s.Resend-s.Connect-s.Upstream)
 }
--- a/internal/edge/traffic.go
+++ b/internal/edge/traffic.go
@@ -9,8 +9,8 @@
 	"sycamorekeel.example/sycamorekeel/internal/traffic"
 )
 
-// upstreamObserver counts what is exchanged with upstreams by how far they are, and notes what
-// connections show of new starts. It implements direct.Observer.
+// upstreamObserver counts the traffic with upstreams by distance, and passes on signs that
+// an upstream has restarted. It implements direct.Observer.
 type upstreamObserver struct {
 	meter  *traffic.Meter
 	place  locality.Place
@@ -18,42 +18,42 @@
 }
 
 // Ended implements direct.Observer.
-func (t upstreamObserver) Ended(u *catalog.Upstream) { t.engine.warmth.doubt(time.Now(), u) }
+func (o upstreamObserver) Ended(u *catalog.Upstream) { o.engine.warmups.suspectRestart(time.Now(), u) }
 
-// HealthPath implements direct.Observer: connections to upstreams that bear little while they
-// are cold ask first.
-func (t upstreamObserver) HealthPath(u *catalog.Upstream) string {
-	v := t.engine.View()
+// HealthPath implements direct.Observer. New connections to upstreams that sustain few
+// requests while cold check their health first.
+func (o upstreamObserver) HealthPath(u *catalog.Upstream) string {
+	v := o.engine.View()
 	if v == nil {
 		return ""
 	}
-	s, bound := t.engine.coldBound(v, u.Service)
-	if !bound {
+	s, limited := o.engine.coldLimitedService(v, u.Service)
+	if !limited {
 		return ""
 	}
 	return s.HealthPath
 }
 
 // HealthAnswered implements direct.Observer.
-func (t upstreamObserver) HealthAnswered(u *catalog.Upstream, begun time.Time, h direct.Health, err error) {
-	t.engine.healthAnswered(u, begun, h, err)
+func (o upstreamObserver) HealthAnswered(u *catalog.Upstream, begun time.Time, h direct.Health, err error) {
+	o.engine.healthAnswered(u, begun, h, err)
 }
 
 // HealthBytes implements direct.Observer.
-func (t upstreamObserver) HealthBytes(u *catalog.Upstream, bytes int) {
-	t.meter.Add(traffic.Health, t.place.Distance(u.DataCentre), bytes)
+func (o upstreamObserver) HealthBytes(u *catalog.Upstream, bytes int) {
+	o.meter.Add(traffic.Health, o.place.Distance(u.DataCentre), bytes)
 }
 
 // Opened implements direct.Observer.
-func (t upstreamObserver) Opened(u *catalog.Upstream) {
-	t.meter.Opened(t.place.Distance(u.DataCentre))
+func (o upstreamObserver) Opened(u *catalog.Upstream) {
+	o.meter.Opened(o.place.Distance(u.DataCentre))
 }
 
 // Sent implements direct.Observer.
-func (t upstreamObserver) Sent(u *catalog.Upstream, extra bool, bytes int) {
+func (o upstreamObserver) Sent(u *catalog.Upstream, extra bool, bytes int) {
 	purpose := traffic.Part
 	if extra {
 		purpose = traffic.Extra
 	}
-	t.meter.Add(purpose, t.place.Distance(u.DataCentre), bytes)
+	o.meter.Add(purpose, o.place.Distance(u.DataCentre), bytes)
 }
