--- a/internal/gossip/fuzz_test.go
+++ b/internal/gossip/fuzz_test.go
@@ -11,10 +11,8 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// Symptom: a daemon ends, or its datagrams grow without bound.
-// Sequence: a peer of another version, or one with a fault, sends a signed
-// message that nobody foresaw.
-// Cause: a field is used that was never checked.
+// Guards against a crash, or datagrams that grow without bound, when a peer with
+// another version or a bug sends a signed message with unexpected field values.
 func FuzzSignedDatagram(f *testing.F) {
 	update := func(state pb.MemberState) *pb.MemberUpdate {
 		return &pb.MemberUpdate{Vm: "vm-b", Incarnation: 5, State: state, PeerAddress: "10.0.0.2:7100"}
@@ -34,10 +32,10 @@
 		}
 		f.Add(b)
 	}
-	sealer := NewSealer([]*pb.PeerKey{{Id: "k", Secret: strings.Repeat("k", 32)}})
+	signer := NewSigner([]*pb.PeerKey{{Id: "k", Secret: strings.Repeat("k", 32)}})
 	now := time.Unix(1000, 0)
 	f.Fuzz(func(t *testing.T, message []byte) {
-		d, reason := sealer.Open(append(sign(sealer.keys[0], message), message...))
+		d, reason := signer.Verify(append(computeMAC(signer.keys[0], message), message...))
 		if reason != "" {
 			return
 		}
@@ -50,21 +48,21 @@
 		}
 		for _, s := range sends {
 			s.Datagram.Sequence = 1 << 60
-			if b, err := sealer.Seal(s.Datagram); err != nil || len(b) > membership.MaxDatagram {
-				t.Fatalf("a datagram of %d bytes: %v", len(b), err)
+			if b, err := signer.Sign(s.Datagram); err != nil || len(b) > membership.MaxDatagram {
+				t.Fatalf("signing produced a datagram of %d bytes: %v", len(b), err)
 			}
 		}
 	})
 }
 
-// FuzzDatagram gives bytes as they come from the network.
+// FuzzDatagram verifies arbitrary bytes, as they arrive from the network.
 func FuzzDatagram(f *testing.F) {
-	sealer := NewSealer([]*pb.PeerKey{{Id: "k", Secret: strings.Repeat("k", 32)}})
+	signer := NewSigner([]*pb.PeerKey{{Id: "k", Secret: strings.Repeat("k", 32)}})
 	f.Add([]byte("hello"))
 	f.Add(make([]byte, 200))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if _, reason := sealer.Open(b); reason == "" {
-			t.Fatal("bytes that nobody signed were taken")
+		if _, reason := signer.Verify(b); reason == "" {
+			t.Fatal("unsigned bytes were accepted")
 		}
 	})
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,9 +1,10 @@
-// Package gossip carries the datagrams of internal/membership over UDP: it signs
-// them, refuses what is not signed, malformed or replayed, and moves the node's
-// time on. It decides nothing about members.
+// Package gossip transports the datagrams of internal/membership over UDP. It
+// signs outgoing datagrams, drops unsigned, malformed and replayed ones, and
+// drives the membership state machine by the clock. It makes no decisions about
+// members.
 //
-// Lock order: Driver.mu is a leaf: no lock is taken, no callback made and no
-// datagram sent while it is held.
+// Lock order: Driver.mu is a leaf. No other lock is acquired, no callback is
+// invoked and no datagram is sent while it is held.
 package gossip
 
 import (
@@ -27,80 +28,86 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// ticksPerPeriod is how often the node is moved on in one probe period.
+// ticksPerPeriod is the number of state machine ticks in one probe period.
 const ticksPerPeriod = 5
 
-// Callbacks is what a driver tells its daemon. They run without a lock held, one
-// at a time for each of the driver's two goroutines.
+// Callbacks are the notifications that a driver sends to its owner. The driver
+// invokes them without holding its lock, one at a time in each of its two
+// goroutines.
 type Callbacks struct {
-	// View gives a changed view; views may arrive out of order, by Version.
+	// View receives each changed view. Views may arrive out of order: compare
+	// their Version.
 	View func(*membership.View)
-	// Heard tells what a peer announced of its configuration; may be nil.
+	// Heard receives the configuration position that a peer announces; may be nil.
 	Heard func(Announcement)
-	// Quarantine gives entries of a peer; may be nil.
+	// Quarantine receives the quarantine entries that a peer sends; may be nil.
 	Quarantine func(peer string, entries []*pb.QuarantineEntry)
-	// Revalidate says that this process was paused: no new work may start.
+	// Revalidate reports that this process was paused: the owner must not start
+	// new work until Revalidated.
 	Revalidate func()
-	// Revalidated ends it; alone says that no peer answered.
+	// Revalidated reports that new work may start again; alone is set when no
+	// peer answered.
 	Revalidated func(alone bool)
-	// Superseded says that a newer process has this VM's name.
+	// Superseded reports that a newer process, with the given incarnation, uses
+	// this VM's name.
 	Superseded func(incarnation uint64)
 }
 
-// Announcement is what a datagram says of its sender's configuration.
+// Announcement is the configuration position in a peer's datagram.
 type Announcement struct {
 	From *pb.MemberUpdate
 	// Era and Revision are the sender's position in the store's history.
 	Era, Revision uint64
 	// Age is the time since the store confirmed the revision; 0 when the sender
-	// does not say.
+	// does not report it.
 	Age time.Duration
 }
 
-// Options is what a driver needs.
+// Options configure a Driver.
 type Options struct {
 	Log       *zap.Logger
 	Registry  prometheus.Registerer
 	Node      membership.Options
 	Keys      []*pb.PeerKey
 	Callbacks Callbacks
-	// Sent counts a datagram's bytes by the place of its receiver, which is empty when it
-	// is not known; may be nil.
+	// Sent receives the size of each sent datagram and the location of its
+	// receiver, which is empty when unknown; may be nil.
 	Sent func(region, dataCentre string, bytes int)
 	Now  func() time.Time
 }
 
-// Driver runs one node.
+// Driver runs one membership.Node. It is safe for concurrent use.
 type Driver struct {
-	opts   Options
-	log    *zap.Logger
-	met    *metrics
-	sealer *Sealer
-	period time.Duration
-	pause  time.Duration
-	// conn is nil until Run: what is sent before is dropped.
+	opts           Options
+	log            *zap.Logger
+	met            *metrics
+	signer         *Signer
+	period         time.Duration
+	pauseThreshold time.Duration
+	// conn is nil until Run; datagrams sent earlier are dropped.
 	conn atomic.Pointer[net.PacketConn]
-	// ticked is when the node was last moved on; doubt is its own view of it.
-	ticked atomic.Pointer[time.Time]
-	doubt  atomic.Bool
+	// lastTick is the time of the node's last tick; inDoubt caches
+	// node.InDoubt as of that tick.
+	lastTick atomic.Pointer[time.Time]
+	inDoubt  atomic.Bool
 
 	mu       sync.Mutex
 	node     *membership.Node
-	windows  *Windows
+	replays  *ReplayFilter
 	sequence uint64
 }
 
-// New makes a driver; Run starts it.
+// New creates a driver and registers its metrics; Run starts it.
 func New(opts Options) *Driver {
 	d := &Driver{
-		opts:    opts,
-		log:     opts.Log,
-		met:     newMetrics(opts.Registry),
-		sealer:  NewSealer(opts.Keys),
-		node:    membership.New(opts.Now(), opts.Node),
-		windows: NewWindows(),
-		period:  cmp.Or(opts.Node.Timing.Period, membership.DefaultPeriod),
-		pause:   cmp.Or(opts.Node.Timing.Pause, membership.DefaultPause),
+		opts:           opts,
+		log:            opts.Log,
+		met:            newMetrics(opts.Registry),
+		signer:         NewSigner(opts.Keys),
+		node:           membership.New(opts.Now(), opts.Node),
+		replays:        NewReplayFilter(),
+		period:         cmp.Or(opts.Node.Timing.Period, membership.DefaultPeriod),
+		pauseThreshold: cmp.Or(opts.Node.Timing.Pause, membership.DefaultPause),
 	}
 	registerStats(opts.Registry, func() membership.Stats {
 		d.mu.Lock()
@@ -110,7 +117,7 @@
 	return d
 }
 
-// Run receives and ticks until ctx ends, then closes the socket.
+// Run receives datagrams and ticks the node until ctx ends, then closes conn.
 func (d *Driver) Run(ctx context.Context, conn net.PacketConn) error {
 	d.conn.Store(&conn)
 	group, ctx := errgroup.WithContext(ctx)
@@ -123,43 +130,43 @@
 	return group.Wait()
 }
 
-// InDoubt tells whether no new work may start at now because this process was
-// paused and has not heard from its peers since. It looks at the last tick
-// itself: what wakes before the ticker must not take the pause for no pause. It
-// takes no lock.
+// InDoubt reports whether new work is forbidden at now because this process was
+// paused and no peer has answered since. It compares now with the last tick, so
+// that a goroutine that wakes before the ticker detects the pause too. It takes
+// no lock.
 func (d *Driver) InDoubt(now time.Time) bool {
-	last := d.ticked.Load()
-	return d.doubt.Load() || last != nil && pause.Gap(*last, now) >= d.pause
+	last := d.lastTick.Load()
+	return d.inDoubt.Load() || last != nil && pause.Gap(*last, now) >= d.pauseThreshold
 }
 
-// View is the members as seen now.
+// View returns the current view of the members.
 func (d *Driver) View() *membership.View {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.node.View()
 }
 
-// SetList takes in the platform's list and returns the view it gives. It makes
-// no callback, so that the daemon may hold its own lock.
+// SetList applies the platform's list of VMs and returns the resulting view. It
+// invokes no callback, so the caller may hold its own lock.
 func (d *Driver) SetList(vms []*pb.VM) *membership.View {
 	d.mu.Lock()
 	act := d.node.SetList(d.opts.Now(), vms)
 	view := d.node.View()
-	packets := d.seal(act.Sends)
+	packets := d.encode(act.Sends)
 	d.mu.Unlock()
-	d.write(packets)
+	d.send(packets)
 	return view
 }
 
-// SetRevision tells which configuration revision to announce.
+// SetRevision sets the configuration revision to announce, without a store era.
 func (d *Driver) SetRevision(revision uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.node.SetRevision(0, revision)
 }
 
-// SetConfirmed tells which revision to announce, of which era of the store, and when the
-// store last confirmed it.
+// SetConfirmed sets the store era and revision to announce, and the time at
+// which the store last confirmed them.
 func (d *Driver) SetConfirmed(era, revision uint64, at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -167,40 +174,42 @@
 	d.node.SetConfirmed(at)
 }
 
-// SetCapacity announces the work that this VM can carry for callers.
+// SetCapacity announces the capacity of this VM for callers, in thousandths of
+// a core.
 func (d *Driver) SetCapacity(capacity uint32) {
 	d.step(func(now time.Time) membership.Actions { return d.node.SetCapacity(now, capacity) })
 }
 
-// Announce tells some peers at once what this VM knows; wide reaches every
-// region.
+// Announce immediately sends this VM's state to a few peers; wide includes
+// peers in every region.
 func (d *Driver) Announce(wide bool) {
 	d.step(func(now time.Time) membership.Actions { return d.node.Announce(now, wide) })
 }
 
-// Broadcast gives entries of the quarantine to so many members, or to membership.All.
+// Broadcast sends quarantine entries to at most the given number of members;
+// membership.All means every member.
 func (d *Driver) Broadcast(entries []*pb.QuarantineEntry, most int) {
 	d.step(func(now time.Time) membership.Actions { return d.node.Broadcast(now, entries, most) })
 }
 
-// Updates is what this VM holds of the fleet.
+// Updates returns the state of all known members, this VM included.
 func (d *Driver) Updates() []*pb.MemberUpdate {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.node.Updates()
 }
 
-// Self is what this VM says of itself.
+// Self returns this VM's own member state.
 func (d *Driver) Self() *pb.MemberUpdate {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.node.Self()
 }
 
-// Learn takes in what a peer holds of the fleet; updates that cannot be so are dropped.
+// Learn merges a peer's list of members; it drops invalid updates.
 func (d *Driver) Learn(updates []*pb.MemberUpdate) {
-	good, dropped := listed(d.opts.Node.Self, updates)
-	d.tellDropped(dropped)
+	good, dropped := filterUpdates(d.opts.Node.Self, updates)
+	d.reportDropped(dropped)
 	d.step(func(now time.Time) membership.Actions { return d.node.Learn(now, good) })
 }
 
@@ -222,17 +231,18 @@
 	}
 }
 
-// advance ticks. The caller holds mu. The doubt is raised before the tick is
-// noted, so that InDoubt never shows a moment of neither.
+// advance ticks the node. The caller holds mu. It stores inDoubt before
+// lastTick: in the other order InDoubt could miss a pause between the two
+// stores.
 func (d *Driver) advance(now time.Time) membership.Actions {
 	act := d.node.Tick(now)
-	d.doubt.Store(d.node.InDoubt())
-	d.ticked.Store(&now)
+	d.inDoubt.Store(d.node.InDoubt())
+	d.lastTick.Store(&now)
 	return act
 }
 
 func (d *Driver) receive(ctx context.Context, conn net.PacketConn) error {
-	// One byte more than a datagram may have shows those that are too long.
+	// One byte more than the limit, to detect datagrams that exceed it.
 	buf := make([]byte, membership.MaxDatagram+1)
 	for {
 		n, _, err := conn.ReadFrom(buf)
@@ -240,7 +250,8 @@
 			return nil
 		}
 		if err != nil {
-			// A refused earlier datagram may show up here; the socket lives on.
+			// The error may belong to a datagram sent earlier, such as a refused
+			// one. The socket remains usable.
 			d.met.errors.Inc()
 			continue
 		}
@@ -248,19 +259,20 @@
 	}
 }
 
-// handle takes one datagram in; one that is refused changes nothing.
+// handle processes one received datagram. The members learn nothing from a
+// dropped one.
 func (d *Driver) handle(b []byte) {
-	m, reason := d.sealer.Open(b)
+	m, reason := d.signer.Verify(b)
 	if reason != "" {
 		d.met.dropped.WithLabelValues(string(reason)).Inc()
 		return
 	}
-	taken := false
+	accepted := false
 	d.step(func(now time.Time) membership.Actions {
-		reason = d.windows.Take(now, m.Sender.Vm, m.Sender.Incarnation, m.Sequence)
+		reason = d.replays.Accept(now, m.Sender.Vm, m.Sender.Incarnation, m.Sequence)
 		switch reason {
 		case "":
-			taken = true
+			accepted = true
 			return d.node.Receive(now, m)
 		case Outdated:
 			return d.node.Outdated(now, m.Sender)
@@ -268,7 +280,7 @@
 			return membership.Actions{}
 		}
 	})
-	if !taken {
+	if !accepted {
 		d.met.dropped.WithLabelValues(string(reason)).Inc()
 		return
 	}
@@ -281,24 +293,25 @@
 	}
 }
 
-// step moves the node on, then does what it asked for without the lock.
+// step runs one transition of the node under the lock, then sends the resulting
+// datagrams and invokes the callbacks without it.
 func (d *Driver) step(f func(now time.Time) membership.Actions) {
 	d.mu.Lock()
 	act := f(d.opts.Now())
 	view := d.node.View()
-	packets := d.seal(act.Sends)
+	packets := d.encode(act.Sends)
 	d.mu.Unlock()
-	d.write(packets)
-	d.tell(act, view)
+	d.send(packets)
+	d.notify(act, view)
 }
 
-func (d *Driver) tell(act membership.Actions, view *membership.View) {
+func (d *Driver) notify(act membership.Actions, view *membership.View) {
 	call := d.opts.Callbacks
 	if act.Revalidate {
 		call.Revalidate()
 	}
 	if act.ViewChanged {
-		d.met.show(view)
+		d.met.setMembers(view)
 		call.View(view)
 	}
 	if act.Revalidated {
@@ -309,16 +322,15 @@
 	}
 }
 
-// packet is a signed datagram.
+// packet is a signed datagram and its destination.
 type packet struct {
 	to                 netip.AddrPort
 	region, dataCentre string
 	data               []byte
 }
 
-// seal stamps and signs datagrams in the order they are sent. The caller holds
-// mu.
-func (d *Driver) seal(sends []membership.Send) []packet {
+// encode numbers and signs datagrams in sending order. The caller holds mu.
+func (d *Driver) encode(sends []membership.Send) []packet {
 	var out []packet
 	for _, s := range sends {
 		to, err := netip.ParseAddrPort(s.Address)
@@ -328,10 +340,10 @@
 		}
 		d.sequence++
 		s.Datagram.Sequence = d.sequence
-		data, err := d.sealer.Seal(s.Datagram)
+		data, err := d.signer.Sign(s.Datagram)
 		if err != nil || len(data) > membership.MaxDatagram {
 			d.met.errors.Inc()
-			d.log.Error("gossip: datagram could not be made", zap.Int("bytes", len(data)), zap.Error(err))
+			d.log.Error("gossip: cannot encode datagram", zap.Int("bytes", len(data)), zap.Error(err))
 			continue
 		}
 		out = append(out, packet{to: to, region: s.Region, dataCentre: s.DataCentre, data: data})
@@ -339,7 +351,7 @@
 	return out
 }
 
-func (d *Driver) write(packets []packet) {
+func (d *Driver) send(packets []packet) {
 	conn := d.conn.Load()
 	if conn == nil {
 		return
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -23,7 +23,7 @@
 
 func TestGossip(t *testing.T) {
 	RegisterFailHandler(Fail)
-	// Far above what a busy machine needs.
+	// Generous, so that the tests pass on a busy machine.
 	SetDefaultEventuallyTimeout(30 * time.Second)
 	RunSpecs(t, "Gossip")
 }
@@ -34,16 +34,19 @@
 	badKey = &pb.PeerKey{Id: "bad", Secret: strings.Repeat("b", 32)}
 )
 
-// station is a driver on a loopback socket.
-type station struct {
+// testDriver is a driver on a loopback socket.
+type testDriver struct {
 	driver   *gossip.Driver
 	registry *prometheus.Registry
 	conn     net.PacketConn
 	stop     func()
-	ended    chan uint64
-	// skipped is added to the clock: a pause of the process.
-	skipped atomic.Int64
-	doubts  chan string
+	// superseded receives the arguments of the Superseded callback.
+	superseded chan uint64
+	// clockOffset is added to the clock; increasing it simulates a pause of the
+	// process.
+	clockOffset atomic.Int64
+	// pauses receives one entry per Revalidate and Revalidated callback.
+	pauses chan string
 }
 
 func listen() net.PacketConn {
@@ -52,14 +55,14 @@
 	return conn
 }
 
-func start(vm string, incarnation uint64, keys []*pb.PeerKey, seeds ...string) *station {
+func start(vm string, incarnation uint64, keys []*pb.PeerKey, seeds ...string) *testDriver {
 	conn := listen()
-	s := &station{registry: prometheus.NewRegistry(), conn: conn, ended: make(chan uint64, 100), doubts: make(chan string, 100)}
+	s := &testDriver{registry: prometheus.NewRegistry(), conn: conn, superseded: make(chan uint64, 100), pauses: make(chan string, 100)}
 	s.driver = gossip.New(gossip.Options{
 		Log:      zap.NewNop(),
 		Registry: s.registry,
 		Keys:     keys,
-		Now:      func() time.Time { return time.Now().Add(time.Duration(s.skipped.Load())) },
+		Now:      func() time.Time { return time.Now().Add(time.Duration(s.clockOffset.Load())) },
 		Node: membership.Options{
 			Self:   &pb.MemberUpdate{Vm: vm, Incarnation: incarnation, PeerAddress: conn.LocalAddr().String()},
 			Seeds:  seeds,
@@ -67,9 +70,9 @@
 		},
 		Callbacks: gossip.Callbacks{
 			View:        func(*membership.View) {},
-			Revalidate:  func() { s.doubts <- "paused" },
-			Revalidated: func(alone bool) { s.doubts <- fmt.Sprintf("alone=%t", alone) },
-			Superseded:  func(inc uint64) { s.ended <- inc },
+			Revalidate:  func() { s.pauses <- "paused" },
+			Revalidated: func(alone bool) { s.pauses <- fmt.Sprintf("alone=%t", alone) },
+			Superseded:  func(inc uint64) { s.superseded <- inc },
 		},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -82,9 +85,9 @@
 	return s
 }
 
-func (s *station) address() string { return s.conn.LocalAddr().String() }
+func (s *testDriver) address() string { return s.conn.LocalAddr().String() }
 
-func (s *station) serving() []string {
+func (s *testDriver) serving() []string {
 	var out []string
 	for _, m := range s.driver.View().Serving() {
 		out = append(out, m.VM)
@@ -92,8 +95,8 @@
 	return out
 }
 
-// dropped reads the counter of a reason.
-func (s *station) dropped(reason gossip.Reason) float64 {
+// dropped returns the number of datagrams dropped for a reason.
+func (s *testDriver) dropped(reason gossip.Reason) float64 {
 	families, err := s.registry.Gather()
 	Expect(err).NotTo(HaveOccurred())
 	for _, f := range families {
@@ -116,25 +119,25 @@
 	}
 }
 
-func seal(key *pb.PeerKey, d *pb.Datagram) []byte {
-	b, err := gossip.NewSealer([]*pb.PeerKey{key}).Seal(d)
+func sign(key *pb.PeerKey, d *pb.Datagram) []byte {
+	b, err := gossip.NewSigner([]*pb.PeerKey{key}).Sign(d)
 	Expect(err).NotTo(HaveOccurred())
 	return b
 }
 
-func changed(change func(*pb.Datagram)) func() []byte {
+// signedWith returns a signed datagram after applying an edit to a valid one.
+func signedWith(edit func(*pb.Datagram)) func() []byte {
 	return func() []byte {
 		d := message("vm-x", 5, 1)
-		change(d)
-		return seal(newKey, d)
+		edit(d)
+		return sign(newKey, d)
 	}
 }
 
-var _ = Describe("a datagram that is not a peer's own", func() {
-	// Symptom: a VM that does not exist is given work, or the daemon ends.
-	// Sequence: bytes from elsewhere reach the gossip port.
-	// Cause: what they say is taken in before it is known whose they are.
-	DescribeTable("changes nothing and is counted",
+var _ = Describe("an invalid datagram", func() {
+	// Guards against sending work to a nonexistent VM, or a crash, when bytes
+	// from elsewhere reach the gossip port and are processed before authentication.
+	DescribeTable("is counted and changes no members",
 		func(bytes func() []byte, reason gossip.Reason) {
 			s := start("vm-a", 10, []*pb.PeerKey{newKey, oldKey})
 			defer s.stop()
@@ -146,43 +149,42 @@
 			Expect(s.serving()).To(Equal([]string{"vm-a"}))
 			Expect(s.driver.View().Members).To(HaveLen(1))
 		},
-		Entry("short", func() []byte { return []byte("hello") }, gossip.TooShort),
+		Entry("too short", func() []byte { return []byte("hello") }, gossip.TooShort),
 		Entry("oversized", func() []byte { return make([]byte, membership.MaxDatagram+200) }, gossip.TooLong),
 		Entry("unsigned", func() []byte { return make([]byte, 200) }, gossip.Unsigned),
-		Entry("signed by a key of another fleet", func() []byte { return seal(badKey, message("vm-x", 5, 1)) }, gossip.Unsigned),
-		Entry("one bit changed", func() []byte {
-			b := seal(newKey, message("vm-x", 5, 1))
+		Entry("signed with the key of another fleet", func() []byte { return sign(badKey, message("vm-x", 5, 1)) }, gossip.Unsigned),
+		Entry("one bit flipped", func() []byte {
+			b := sign(newKey, message("vm-x", 5, 1))
 			b[len(b)-1] ^= 1
 			return b
 		}, gossip.Unsigned),
-		Entry("no sequence", changed(func(d *pb.Datagram) { d.Sequence = 0 }), gossip.Malformed),
-		Entry("no sender", changed(func(d *pb.Datagram) { d.Sender = nil }), gossip.Malformed),
-		Entry("no name", changed(func(d *pb.Datagram) { d.Sender.Vm = "" }), gossip.Malformed),
-		Entry("a name too long", changed(func(d *pb.Datagram) { d.Sender.Vm = strings.Repeat("x", 64) }), gossip.Malformed),
-		Entry("a sender that says it is dead", changed(func(d *pb.Datagram) { d.Sender.State = pb.MemberState_DEAD }), gossip.Malformed),
-		Entry("no address", changed(func(d *pb.Datagram) { d.Sender.PeerAddress = "" }), gossip.Malformed),
-		Entry("an address that is none", changed(func(d *pb.Datagram) { d.Sender.PeerAddress = "vm-x:port" }), gossip.Malformed),
-		Entry("an update without a state", changed(func(d *pb.Datagram) {
+		Entry("no sequence number", signedWith(func(d *pb.Datagram) { d.Sequence = 0 }), gossip.Malformed),
+		Entry("no sender", signedWith(func(d *pb.Datagram) { d.Sender = nil }), gossip.Malformed),
+		Entry("no VM name", signedWith(func(d *pb.Datagram) { d.Sender.Vm = "" }), gossip.Malformed),
+		Entry("VM name too long", signedWith(func(d *pb.Datagram) { d.Sender.Vm = strings.Repeat("x", 64) }), gossip.Malformed),
+		Entry("sender state DEAD", signedWith(func(d *pb.Datagram) { d.Sender.State = pb.MemberState_DEAD }), gossip.Malformed),
+		Entry("no peer address", signedWith(func(d *pb.Datagram) { d.Sender.PeerAddress = "" }), gossip.Malformed),
+		Entry("invalid peer address", signedWith(func(d *pb.Datagram) { d.Sender.PeerAddress = "vm-x:port" }), gossip.Malformed),
+		Entry("update without a state", signedWith(func(d *pb.Datagram) {
 			d.Updates = []*pb.MemberUpdate{{Vm: "vm-y", Incarnation: 1}}
 		}), gossip.Malformed),
-		Entry("a good update beside a bad one", changed(func(d *pb.Datagram) {
+		Entry("a valid update next to an invalid one", signedWith(func(d *pb.Datagram) {
 			good := proto.CloneOf(d.Sender)
 			good.Vm = "vm-y"
 			d.Updates = []*pb.MemberUpdate{good, {State: pb.MemberState_DEAD}}
 		}), gossip.Malformed),
 	)
 
-	// Symptom: a member that came back is held leaving again.
-	// Sequence: a datagram is recorded and sent once more, or one of an older
-	// process of that VM is.
-	// Cause: a signature alone does not tell when something was said.
-	It("is refused when it is sent again", func() {
+	// Guards against a restarted member being marked as leaving again when a
+	// recorded datagram is replayed, its own or that of an older process of the VM.
+	// A signature alone does not prove freshness.
+	It("is dropped when it is replayed", func() {
 		s := start("vm-a", 10, []*pb.PeerKey{newKey})
 		defer s.stop()
 		out := listen()
 		defer func() { _ = out.Close() }()
 		send := func(d *pb.Datagram) {
-			_, err := out.WriteTo(seal(newKey, d), s.conn.LocalAddr())
+			_, err := out.WriteTo(sign(newKey, d), s.conn.LocalAddr())
 			Expect(err).NotTo(HaveOccurred())
 		}
 		send(message("vm-x", 5, 2))
@@ -197,23 +199,23 @@
 	})
 })
 
-var _ = DescribeTable("a window takes each sequence once",
+var _ = DescribeTable("the replay filter accepts each sequence number once",
 	func(sequences []uint64, want []gossip.Reason) {
-		w := gossip.NewWindows()
+		f := gossip.NewReplayFilter()
 		var got []gossip.Reason
 		for _, q := range sequences {
-			got = append(got, w.Take(time.Unix(1, 0), "vm", 1, q))
+			got = append(got, f.Accept(time.Unix(1, 0), "vm", 1, q))
 		}
 		Expect(got).To(Equal(want))
 	},
 	Entry("in order", []uint64{1, 2, 3}, []gossip.Reason{"", "", ""}),
 	Entry("repeated", []uint64{1, 1, 2, 1}, []gossip.Reason{"", gossip.Replayed, "", gossip.Replayed}),
 	Entry("reordered", []uint64{5, 3, 4, 3}, []gossip.Reason{"", "", "", gossip.Replayed}),
-	Entry("a jump beyond the window", []uint64{1, 1000, 936, 937, 937}, []gossip.Reason{"", "", gossip.Replayed, "", gossip.Replayed}),
+	Entry("jump beyond the window", []uint64{1, 1000, 936, 937, 937}, []gossip.Reason{"", "", gossip.Replayed, "", gossip.Replayed}),
 )
 
 var _ = Describe("drivers", func() {
-	It("find each other by a seed, with keys in the middle of a rotation, and leave nothing behind", func() {
+	It("discover each other through a seed during a key rotation and leak no goroutines", func() {
 		leaks := goleak.IgnoreCurrent()
 		a := start("vm-a", 10, []*pb.PeerKey{oldKey, newKey})
 		b := start("vm-b", 11, []*pb.PeerKey{newKey, oldKey}, a.address())
@@ -225,11 +227,10 @@
 		Eventually(func() error { return goleak.Find(leaks) }).Should(Succeed())
 	})
 
-	// Symptom: two processes take the work that is addressed to one VM.
-	// Sequence: a VM is replaced under its name while the old process is cut
-	// off; then the old one is reachable again.
-	// Cause: peers drop its datagrams as outdated and it never learns why.
-	It("tell an old process that a newer one has its name", func() {
+	// Guards against two processes serving under one VM name: a VM is replaced
+	// while its old process is partitioned, and the partition heals. If peers only
+	// dropped the old process's datagrams, it would never learn of its successor.
+	It("notify an old process that a newer one has its name", func() {
 		a := start("vm-a", 10, []*pb.PeerKey{newKey})
 		defer a.stop()
 		b := start("vm-b", 12, []*pb.PeerKey{newKey}, a.address())
@@ -237,28 +238,27 @@
 		Eventually(a.serving).Should(HaveLen(2))
 		old := start("vm-b", 11, []*pb.PeerKey{newKey}, a.address())
 		defer old.stop()
-		Eventually(old.ended).Should(Receive(BeEquivalentTo(12)))
-		Expect(b.ended).To(BeEmpty())
+		Eventually(old.superseded).Should(Receive(BeEquivalentTo(12)))
+		Expect(b.superseded).To(BeEmpty())
 	})
 
-	// Symptom: two VMs send to one upstream, or a request is let in under an
-	// old configuration.
-	// Sequence: a process is paused, its peers declare it dead, it wakes.
-	// Cause: it acts on what it knew before the pause.
-	It("hold a paused process back until a peer has answered", func() {
+	// Guards against two VMs sending to one upstream, or admitting a request under
+	// an old configuration: a process is paused, its peers declare it dead, and on
+	// waking it acts on its state from before the pause.
+	It("forbid new work after a pause until a peer answers", func() {
 		a := start("vm-a", 10, []*pb.PeerKey{newKey})
 		defer a.stop()
 		b := start("vm-b", 12, []*pb.PeerKey{newKey}, a.address())
 		Eventually(a.serving).Should(HaveLen(2))
 		Expect(a.driver.InDoubt(time.Now())).To(BeFalse())
 		Expect(a.driver.InDoubt(time.Now().Add(time.Minute))).To(BeTrue(), "before the first tick after a pause")
-		a.skipped.Store(int64(time.Minute))
-		Eventually(a.doubts).Should(Receive(Equal("paused")))
-		Eventually(a.doubts).Should(Receive(Equal("alone=false")))
+		a.clockOffset.Store(int64(time.Minute))
+		Eventually(a.pauses).Should(Receive(Equal("paused")))
+		Eventually(a.pauses).Should(Receive(Equal("alone=false")))
 		b.stop()
-		a.skipped.Store(int64(time.Hour))
-		Eventually(a.doubts).Should(Receive(Equal("paused")))
-		Eventually(a.doubts).Should(Receive(Equal("alone=true")))
+		a.clockOffset.Store(int64(time.Hour))
+		Eventually(a.pauses).Should(Receive(Equal("paused")))
+		Eventually(a.pauses).Should(Receive(Equal("alone=true")))
 		Expect(a.driver.InDoubt(time.Now().Add(time.Hour))).To(BeFalse())
 	})
 })
--- a/internal/gossip/list.go
+++ b/internal/gossip/list.go
@@ -6,29 +6,30 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// Reasons for which an update of a list is dropped, beside Malformed.
+// Reasons for dropping an update of a member list, in addition to Malformed.
 const (
-	// OwnAddress updates give this VM's address to another one.
+	// OwnAddress marks an update that gives this VM's peer address to another VM.
 	OwnAddress Reason = "own_address"
-	// RepeatedAddress updates give an address to a VM that a newer process of another one
-	// has.
+	// RepeatedAddress marks an update whose peer address a newer process of
+	// another VM claims.
 	RepeatedAddress Reason = "repeated_address"
 )
 
-// listed is what is good of a list of members, and what is dropped, by reason. A list with
-// an address that is not the member's own would send probes, pulls and callers to the
-// wrong VM for as long as that answers: one notices VMs that hold two members alive where
-// one answers. The newest process that claims an address has it.
-func listed(self *pb.MemberUpdate, updates []*pb.MemberUpdate) (good []*pb.MemberUpdate, dropped map[Reason]int) {
+// filterUpdates splits a member list into valid updates and counts of the
+// dropped ones by reason. An update with another VM's address would direct
+// probes, pulls and callers to the wrong VM for as long as that VM answers; the
+// symptom is two live members at one address. Of several VMs that claim an
+// address, the process with the highest incarnation gets it.
+func filterUpdates(self *pb.MemberUpdate, updates []*pb.MemberUpdate) (good []*pb.MemberUpdate, dropped map[Reason]int) {
 	newest := map[string]*pb.MemberUpdate{}
 	for _, u := range updates {
-		if held := newest[u.GetPeerAddress()]; held == nil || held.Incarnation < u.GetIncarnation() {
+		if n := newest[u.GetPeerAddress()]; n == nil || n.Incarnation < u.GetIncarnation() {
 			newest[u.GetPeerAddress()] = u
 		}
 	}
 	dropped = map[Reason]int{}
 	for _, u := range updates {
-		if reason := unlikely(self, u, newest); reason != "" {
+		if reason := checkUpdate(self, u, newest); reason != "" {
 			dropped[reason]++
 			continue
 		}
@@ -37,8 +38,9 @@
 	return good, dropped
 }
 
-// unlikely says why an update of a list is not taken in, empty when it is.
-func unlikely(self, u *pb.MemberUpdate, newest map[string]*pb.MemberUpdate) Reason {
+// checkUpdate returns the reason to drop an update of a list, or "" if it is
+// valid. newest maps each peer address to the newest update that claims it.
+func checkUpdate(self, u *pb.MemberUpdate, newest map[string]*pb.MemberUpdate) Reason {
 	switch {
 	case u == nil || !wellFormedUpdate(u):
 		return Malformed
@@ -53,8 +55,8 @@
 	}
 }
 
-// tellDropped counts what was dropped of a list and logs it.
-func (d *Driver) tellDropped(dropped map[Reason]int) {
+// reportDropped counts and logs dropped updates.
+func (d *Driver) reportDropped(dropped map[Reason]int) {
 	for reason, n := range dropped {
 		d.met.dropped.WithLabelValues(string(reason)).Add(float64(n))
 		d.log.Warn("gossip: updates of a list dropped", zap.String("reason", string(reason)), zap.Int("updates", n))
--- a/internal/gossip/metrics.go
+++ b/internal/gossip/metrics.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// registerStats exports what the node counts.
+// registerStats exports the counters of the membership node.
 func registerStats(r prometheus.Registerer, stats func() membership.Stats) {
 	f := promauto.With(r)
 	export := func(name, help string, value func(membership.Stats) uint64) {
@@ -47,7 +47,8 @@
 	export("sycamorekeel_membership_outdated_answers_total", "Old processes told that a newer one has their name.", func(s membership.Stats) uint64 { return s.Outdated })
 }
 
-func (m *metrics) show(v *membership.View) {
+// setMembers exports the number of members by state.
+func (m *metrics) setMembers(v *membership.View) {
 	count := map[pb.MemberState]int{}
 	for i := range v.Members {
 		count[v.Members[i].State]++
--- a/internal/gossip/replay.go
+++ b/internal/gossip/replay.go
@@ -3,85 +3,89 @@
 import "time"
 
 const (
-	// windowSize is how far a datagram may lag behind the highest sequence.
+	// windowSize is the number of sequence numbers tracked, ending with the highest
+	// one; lower ones are rejected. It equals the number of bits in window.seen.
 	windowSize = 64
-	// maxSenders bounds the windows held.
+	// maxSenders limits the number of senders tracked.
 	maxSenders = 4096
-	// senderLife is how long the window of a silent sender is kept.
-	senderLife = 24 * time.Hour
+	// senderTTL is how long the window of a silent sender is kept.
+	senderTTL = 24 * time.Hour
 )
 
-// window is the sequences taken from one sender's newest incarnation.
+// window records the sequence numbers accepted from one sender's newest
+// incarnation.
 type window struct {
 	incarnation uint64
 	highest     uint64
-	// seen has bit i set when highest-i was taken.
-	seen  uint64
-	heard time.Time
+	// seen has bit i set when highest-i was accepted.
+	seen         uint64
+	lastAccepted time.Time
 }
 
-// Windows refuses datagrams that were taken before and those of an incarnation
-// that a newer one has replaced. It is not safe for concurrent use.
-type Windows struct {
+// ReplayFilter rejects repeated datagrams and those of superseded incarnations.
+// It is not safe for concurrent use.
+type ReplayFilter struct {
 	senders map[string]*window
 }
 
-// NewWindows holds no sender.
-func NewWindows() *Windows {
-	return &Windows{senders: map[string]*window{}}
+// NewReplayFilter returns an empty filter.
+func NewReplayFilter() *ReplayFilter {
+	return &ReplayFilter{senders: map[string]*window{}}
 }
 
-// Take takes a datagram once; a reason says why it must be dropped.
-func (w *Windows) Take(now time.Time, vm string, incarnation, sequence uint64) Reason {
-	s := w.senders[vm]
-	if s == nil {
-		w.evict(now)
-		s = &window{}
-		w.senders[vm] = s
+// Accept records a datagram and returns "", or returns the reason to drop it.
+func (f *ReplayFilter) Accept(now time.Time, vm string, incarnation, sequence uint64) Reason {
+	w := f.senders[vm]
+	if w == nil {
+		f.evict(now)
+		w = &window{}
+		f.senders[vm] = w
 	}
-	if incarnation < s.incarnation {
+	if incarnation < w.incarnation {
 		return Outdated
 	}
-	if incarnation > s.incarnation {
-		*s = window{incarnation: incarnation}
+	if incarnation > w.incarnation {
+		*w = window{incarnation: incarnation}
 	}
-	if !s.take(sequence) {
+	if !w.accept(sequence) {
 		return Replayed
 	}
-	s.heard = now
+	w.lastAccepted = now
 	return ""
 }
 
-func (s *window) take(sequence uint64) bool {
-	if sequence > s.highest {
-		s.seen = s.seen<<(sequence-s.highest) | 1
-		s.highest = sequence
+func (w *window) accept(sequence uint64) bool {
+	if sequence > w.highest {
+		w.seen = w.seen<<(sequence-w.highest) | 1
+		w.highest = sequence
 		return true
 	}
-	age := s.highest - sequence
-	if age >= windowSize || s.seen&(1<<age) != 0 {
+	age := w.highest - sequence
+	if age >= windowSize || w.seen&(1<<age) != 0 {
 		return false
 	}
-	s.seen |= 1 << age
+	w.seen |= 1 << age
 	return true
 }
 
-// evict makes room: names of VMs that are gone for good must not fill memory.
-func (w *Windows) evict(now time.Time) {
-	if len(w.senders) < maxSenders {
+// evict makes room for one sender when the filter is full: it removes expired
+// senders, or else the one silent for longest. Without it the names of VMs that
+// no longer exist would fill the memory.
+func (f *ReplayFilter) evict(now time.Time) {
+	if len(f.senders) < maxSenders {
 		return
 	}
 	var oldest string
-	for vm, s := range w.senders {
-		if now.Sub(s.heard) >= senderLife {
-			delete(w.senders, vm)
+	for vm, w := range f.senders {
+		if now.Sub(w.lastAccepted) >= senderTTL {
+			delete(f.senders, vm)
 			continue
 		}
-		if oldest == "" || s.heard.Before(w.senders[oldest].heard) {
+		if oldest == "" || w.lastAccepted.Before(f.senders[oldest].lastAccepted) {
 			oldest = vm
 		}
 	}
-	if len(w.senders) >= maxSenders {
-		delete(w.senders, oldest)
+	if len(f.senders) >= maxSenders {
+		delete(f.senders, oldest)
 	}
 }
--- a/internal/gossip/seal.go
+++ b/internal/gossip/signer.go
@@ -11,70 +11,76 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// Reason says why a datagram was dropped.
+// Reason is why a datagram or update is dropped; it is the metric label.
 type Reason string
 
-// Reasons.
+// Reasons for dropping a datagram.
 const (
-	TooLong   Reason = "too_long"
-	TooShort  Reason = "too_short"
-	Unsigned  Reason = "unsigned"
+	TooLong  Reason = "too_long"
+	TooShort Reason = "too_short"
+	// Unsigned means that no configured key matches the signature.
+	Unsigned Reason = "unsigned"
+	// Malformed means that the message cannot be decoded or a field is invalid.
 	Malformed Reason = "malformed"
-	Replayed  Reason = "replayed"
-	Outdated  Reason = "outdated"
+	// Replayed means that the sequence number was seen before or is too old.
+	Replayed Reason = "replayed"
+	// Outdated means that a newer process of the sending VM is known.
+	Outdated Reason = "outdated"
 )
 
+// Limits on the fields of a datagram: bytes of a string, or entries of a list.
 const (
-	maxName    = 63
-	maxAddress = 64
-	maxUpdates = 128
-	maxDigest  = 64
-	// maxQuarantine bounds the entries of a datagram.
+	maxName       = 63
+	maxAddress    = 64
+	maxUpdates    = 128
+	maxDigest     = 64
 	maxQuarantine = 32
 )
 
-// Sealer signs and opens datagrams: an HMAC-SHA-256 and then the message.
-type Sealer struct {
+// Signer signs and verifies datagrams. A signed datagram is an HMAC-SHA-256
+// followed by the encoded message.
+type Signer struct {
 	keys [][]byte
 }
 
-// NewSealer signs by the first key and accepts every key.
-func NewSealer(keys []*pb.PeerKey) *Sealer {
-	s := &Sealer{}
+// NewSigner returns a signer that signs with the first key and accepts every key,
+// so that keys can be rotated.
+func NewSigner(keys []*pb.PeerKey) *Signer {
+	s := &Signer{}
 	for _, k := range keys {
 		s.keys = append(s.keys, deriveKey(k.Secret))
 	}
 	return s
 }
 
-// deriveKey keeps the key of the datagrams apart from the other uses of the
-// shared secret.
+// deriveKey derives a key specific to gossip datagrams, because the shared secret
+// has other uses.
 func deriveKey(secret string) []byte {
 	m := hmac.New(sha256.New, []byte(secret))
 	m.Write([]byte("sycamorekeel gossip v1"))
 	return m.Sum(nil)
 }
 
-// Seal is the bytes to send.
-func (s *Sealer) Seal(d *pb.Datagram) ([]byte, error) {
+// Sign encodes and signs a datagram.
+func (s *Signer) Sign(d *pb.Datagram) ([]byte, error) {
 	out := make([]byte, membership.SignatureBytes, membership.MaxDatagram)
 	out, err := proto.MarshalOptions{}.MarshalAppend(out, d)
 	if err != nil {
 		return nil, err
 	}
-	copy(out, sign(s.keys[0], out[membership.SignatureBytes:]))
+	copy(out, computeMAC(s.keys[0], out[membership.SignatureBytes:]))
 	return out, nil
 }
 
-// Open checks the signature and the form of received bytes. The message may be
-// used only when the reason is empty.
-func (s *Sealer) Open(b []byte) (*pb.Datagram, Reason) {
+// Verify checks the signature and the fields of a received datagram. It returns
+// the message, or nil and the reason to drop the datagram.
+func (s *Signer) Verify(b []byte) (*pb.Datagram, Reason) {
 	switch {
 	case len(b) > membership.MaxDatagram:
 		return nil, TooLong
 	case len(b) <= membership.SignatureBytes:
 		return nil, TooShort
-	case !s.signed(b[:membership.SignatureBytes], b[membership.SignatureBytes:]):
+	case !s.verifyMAC(b[:membership.SignatureBytes], b[membership.SignatureBytes:]):
 		return nil, Unsigned
 	}
 	d := &pb.Datagram{}
@@ -84,16 +90,16 @@
 	return d, ""
 }
 
-func (s *Sealer) signed(mac, message []byte) bool {
+func (s *Signer) verifyMAC(mac, message []byte) bool {
 	for _, key := range s.keys {
-		if hmac.Equal(mac, sign(key, message)) {
+		if hmac.Equal(mac, computeMAC(key, message)) {
 			return true
 		}
 	}
 	return false
 }
 
-func sign(key, message []byte) []byte {
+func computeMAC(key, message []byte) []byte {
 	m := hmac.New(sha256.New, key)
 	m.Write(message)
 	return m.Sum(nil)
