--- a/internal/fleet/config_test.go
+++ b/internal/fleet/config_test.go
@@ -13,8 +13,8 @@
 	"sycamorekeel.example/sycamorekeel/internal/standin"
 )
 
-// configured is a fleet whose VMs know each other from their settings.
-func configured(vms int) *fleet.Fleet {
+// startSeeded starts a fleet whose VMs have each other as seeds.
+func startSeeded(vms int) *fleet.Fleet {
 	f, err := fleet.Start(fleet.Options{
 		Log:         zap.NewNop(),
 		Documents:   map[string]string{"payments": payments},
@@ -34,11 +34,10 @@
 }
 
 var _ = Describe("configuration", func() {
-	// Symptom: a replaced VM does not serve while the platform is down.
-	// Sequence: the platform goes down; a VM is replaced; its peers live.
-	// Cause: taking the first configuration from the platform alone.
-	It("comes from peers while the platform is down", func() {
-		f := configured(3)
+	// Guards against a restarted VM that cannot serve while the platform is down
+	// because it loads its first configuration only from the platform.
+	It("is loaded from peers while the platform is down", func() {
+		f := startSeeded(3)
 		want := f.VMs[1].Daemon.Status().Revision
 		f.Platform.SetDown(true)
 		Expect(f.Restart(0, true)).To(Succeed())
@@ -47,12 +46,11 @@
 		Eventually(func() string { return f.VMs[0].Daemon.Status().Platform.Reason }).WithTimeout(20 * time.Second).Should(Equal("refused"))
 	})
 
-	// Symptom: a VM without a configuration takes requests, or does not tell why
-	// it takes none.
-	// Sequence: it starts while neither the platform nor a peer can be reached.
-	// Cause: readiness that does not depend on the configuration.
-	It("is missing, and says so, when neither the platform nor a peer answers", func() {
-		f := configured(1)
+	// Guards against a VM that starts while neither the platform nor a peer is
+	// reachable and accepts requests without a configuration, or is not ready
+	// without a reason. Readiness must depend on the configuration.
+	It("is reported as missing when neither the platform nor a peer answers", func() {
+		f := startSeeded(1)
 		f.Platform.SetDown(true)
 		Expect(f.Restart(0, true)).To(Succeed())
 		Eventually(f.VMs[0].Daemon.NotReady).WithTimeout(20 * time.Second).Should(ContainSubstring("the platform is refused and no peer has given one"))
@@ -60,13 +58,12 @@
 		Eventually(f.VMs[0].Daemon.NotReady).WithTimeout(20 * time.Second).Should(BeEmpty())
 	})
 
-	// Symptom: a customer is unknown at a replaced VM, and nothing shows why.
-	// Sequence: a revision is rejected; a VM is replaced; the platform has the
-	// rejected revision only.
-	// Cause: the version in force is on the peers alone.
-	It("keeps the former revision of a rejected document, on a replaced VM too", func() {
-		f := configured(3)
-		f.Edit("payments", func(text string) string { return strings.Replace(text, "weight", "wait", 1) })
+	// Guards against a customer being unknown, without explanation, at a VM that
+	// restarts after a revision was rejected: the platform has only the rejected
+	// revision, and only the peers have the one in force.
+	It("keeps the previous revision of a rejected document across a restart", func() {
+		f := startSeeded(3)
+		f.EditDocument("payments", func(text string) string { return strings.Replace(text, "weight", "wait", 1) })
 		rejected := func(vm int) func() int {
 			return func() int { return len(f.VMs[vm].Daemon.Status().Rejected) }
 		}
@@ -80,11 +77,10 @@
 		Expect(f.VMs[2].Daemon.Status().Rejected[0].Findings.String()).To(ContainSubstring("wait"))
 	})
 
-	// Symptom: a VM ends, or serves less, when the platform answers nonsense.
-	// Sequence: answers are garbage, then of an older revision, then good.
-	// Cause: trusting an answer.
-	It("survives garbage and a stale platform", func() {
-		f := configured(3)
+	// Guards against a VM that crashes or loses configuration because it trusts
+	// the platform's answers, which are malformed, then stale, then valid.
+	It("survives malformed and stale answers of the platform", func() {
+		f := startSeeded(3)
 		f.Platform.SetGarble(func(b []byte) []byte { return b[:len(b)/2] })
 		Eventually(func() string {
 			return f.VMs[0].Daemon.Status().Platform.Reason + f.VMs[1].Daemon.Status().Platform.Reason
@@ -92,10 +88,10 @@
 			WithTimeout(20 * time.Second).Should(ContainSubstring("malformed"))
 		f.Platform.SetGarble(nil)
 		f.Platform.SetStale(1)
-		f.Edit("payments", func(text string) string { return text + "\n" })
+		f.EditDocument("payments", func(text string) string { return text + "\n" })
 		Expect(f.VMs[0].Daemon.Snapshot().Customers()).To(HaveLen(1))
 		f.Platform.SetStale(0)
-		f.Edit("payments", func(text string) string { return text + "\n" })
+		f.EditDocument("payments", func(text string) string { return text + "\n" })
 		want := f.Platform.Publish("payments", []byte(f.Document("payments")))
 		for _, vm := range f.VMs {
 			Eventually(func() uint64 { return vm.Daemon.Status().Revision }).WithTimeout(20 * time.Second).Should(Equal(want))
--- a/internal/fleet/crash.go
+++ b/internal/fleet/crash.go
@@ -8,25 +8,25 @@
 	"sycamorekeel.example/sycamorekeel/internal/standin"
 )
 
-// A paused process (stopped by the scheduler or a live migration, waking later
-// with old views) cannot be made here: every VM shares one process and clock.
-// Decision packages are given that case by their own tests.
+// This package cannot simulate a paused process (stopped by the scheduler or a
+// live migration and resumed with stale state), because all VMs share one process
+// and clock. The packages that make decisions cover that case in their own tests.
 
-// Kill ends a daemon as a crash does: nothing is drained, every connection is
-// cut at once and nothing more of it reaches anyone.
+// Kill simulates a crash of the daemon: it closes all connections at once without
+// draining, and blocks all later traffic of the daemon.
 func (v *VM) Kill() {
-	v.wire.kill()
+	v.tracker.kill()
 	v.listeners.close()
 	v.Daemon.Halt()
 	v.cancel()
 }
 
-// Running tells whether the VM was neither stopped nor killed.
+// Running reports whether the VM was neither stopped nor killed.
 func (v *VM) Running() bool { return v.ctx.Err() == nil }
 
-// Restart starts a new process under the name of a VM that was stopped or
-// killed. With the same addresses it may come back before others have noticed;
-// with new ones the platform's list names them.
+// Restart kills a VM, if it is still running, and starts a new process under its
+// name. With the same addresses it may be back before its peers notice; new
+// addresses are published in the platform's list of VMs.
 func (f *Fleet) Restart(i int, sameAddresses bool) error {
 	old := f.VMs[i]
 	old.Kill()
@@ -35,7 +35,7 @@
 		return trace.Wrap(err)
 	}
 	if !sameAddresses {
-		f.addresses[i] = l
+		f.listeners[i] = l
 		f.Publish("vms", f.listVMs())
 	}
 	vm, err := f.startVM(i, l)
@@ -44,12 +44,12 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.retired = append(f.retired, old)
+	f.replaced = append(f.replaced, old)
 	f.VMs[i] = vm
 	return nil
 }
 
-// Running is the VMs that were neither stopped nor killed.
+// Running returns the VMs that were neither stopped nor killed.
 func (f *Fleet) Running() []*VM {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,11 +62,11 @@
 	return out
 }
 
-// Processes is every daemon that ran, those that a restart replaced included.
+// Processes returns every daemon started, including those replaced by Restart.
 func (f *Fleet) Processes() []*VM {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Concat(f.VMs, f.retired)
+	return slices.Concat(f.VMs, f.replaced)
 }
 
 func (f *Fleet) listenersFor(old *VM, same bool) (vmListeners, error) {
@@ -76,16 +76,17 @@
 	return relisten(old.Settings)
 }
 
-// Cut stops the packets from one VM to another, and with both the way back too.
-// Callers, upstreams and the platform still reach each of them.
+// Cut blocks traffic from one VM to another and, if both is set, in the opposite
+// direction: stream data is held until Heal, datagrams are lost. Traffic with
+// callers, upstreams and the platform is not affected.
 func (f *Fleet) Cut(from, to int, both bool) {
-	f.network.set(direction{vmName(from), vmName(to)}, true)
+	f.network.setCut(direction{vmName(from), vmName(to)}, true)
 	if both {
-		f.network.set(direction{vmName(to), vmName(from)}, true)
+		f.network.setCut(direction{vmName(to), vmName(from)}, true)
 	}
 }
 
-// Isolate cuts a VM off from every other one.
+// Isolate cuts a VM off from every other VM in both directions.
 func (f *Fleet) Isolate(vm int) {
 	for i := range f.VMs {
 		if i != vm {
@@ -94,18 +95,19 @@
 	}
 }
 
-// Heal ends every cut.
+// Heal removes all cuts between VMs and delivers held stream data.
 func (f *Fleet) Heal() { f.network.heal() }
 
-// Change edits the behaviour of an upstream named "service/id".
+// Change edits the behaviour of the upstream with the given "service/id".
 func (f *Fleet) Change(id string, edit func(*standin.Behaviour)) {
 	f.Upstreams[id].Change(edit)
 }
 
-// Document is the published text of a document, with the stand-ins' addresses.
+// Document returns the published text of a document, with the addresses of the
+// simulated upstreams.
 func (f *Fleet) Document(name string) string { return f.documents[name] }
 
-// Publish replaces a document and returns its revision.
+// Publish replaces a document on the platform and returns the new revision.
 func (f *Fleet) Publish(name, text string) uint64 {
 	f.documents[name] = text
 	return f.Platform.Publish(name, []byte(text))
--- a/internal/fleet/crash_test.go
+++ b/internal/fleet/crash_test.go
@@ -45,11 +45,11 @@
 	return f
 }
 
-func TestAKilledVMRefusesAndComesBackAsANewProcess(t *testing.T) {
+func TestKillAndRestart(t *testing.T) {
 	g := NewWithT(t)
 	f := startFleet(g, t)
 	vm := f.VMs[0]
-	open, err := net.Dial("tcp", vm.Settings.CallerAddress)
+	conn, err := net.Dial("tcp", vm.Settings.CallerAddress)
 	g.Expect(err).NotTo(HaveOccurred())
 	first := vm.Daemon.Status().Incarnation
 
@@ -58,9 +58,9 @@
 	g.Expect(vm.Running()).To(BeFalse())
 	_, err = net.Dial("tcp", vm.Settings.CallerAddress)
 	g.Expect(err).To(HaveOccurred())
-	_, err = open.Read(make([]byte, 1))
+	_, err = conn.Read(make([]byte, 1))
 	g.Expect(err).To(HaveOccurred())
-	_, err = vm.wire.dialUpstream(f.Upstreams["s/a"].Address(), time.Second)
+	_, err = vm.tracker.dialUpstream(f.Upstreams["s/a"].Address(), time.Second)
 	g.Expect(err).To(MatchError(net.ErrClosed))
 
 	g.Expect(f.Restart(0, true)).To(Succeed())
@@ -72,29 +72,29 @@
 	g.Expect(f.VMs[0].Settings.CallerAddress).NotTo(Equal(vm.Settings.CallerAddress))
 }
 
-// pair is a connection that vm-1 dialled to vm-2, and vm-2's end of it.
-func pair(g *WithT, n *network) (near, far net.Conn) {
+// dialPair returns both ends of a connection that vm-1 dialled to vm-2.
+func dialPair(g *WithT, n *network) (near, far net.Conn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = ln.Close() }()
-	n.place("vm-2", ln.Addr().String())
-	near, err = newWire("vm-1", n).dialPeer(context.Background(), ln.Addr().String())
+	n.register("vm-2", ln.Addr().String())
+	near, err = newConnTracker("vm-1", n).dialPeer(context.Background(), ln.Addr().String())
 	g.Expect(err).NotTo(HaveOccurred())
-	far, err = newWire("vm-2", n).listen(ln).Accept()
+	far, err = newConnTracker("vm-2", n).wrapListener(ln).Accept()
 	g.Expect(err).NotTo(HaveOccurred())
 	return near, far
 }
 
-func TestACutHoldsOneDirectionUntilItIsHealed(t *testing.T) {
+func TestCutHoldsOneDirectionUntilHealed(t *testing.T) {
 	for _, cut := range []direction{{"vm-1", "vm-2"}, {"vm-2", "vm-1"}} {
 		g := NewWithT(t)
 		n := newNetwork()
-		near, far := pair(g, n)
+		near, far := dialPair(g, n)
 		from, to := near, far
 		if cut.from == "vm-2" {
 			from, to = far, near
 		}
-		n.set(cut, true)
+		n.setCut(cut, true)
 		got := make(chan byte, 2)
 		go receive(to, got)
 		go func() { _, _ = from.Write([]byte{7}) }()
@@ -103,7 +103,7 @@
 		var b [1]byte
 		_, err := from.Read(b[:])
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(b[0]).To(Equal(byte(8)), "the other direction stays open")
+		g.Expect(b[0]).To(Equal(byte(8)), "the opposite direction stays open")
 		g.Consistently(got, 50*time.Millisecond).ShouldNot(Receive())
 
 		n.heal()
@@ -120,18 +120,18 @@
 	}
 }
 
-func TestACutLosesDatagrams(t *testing.T) {
+func TestCutDropsDatagrams(t *testing.T) {
 	g := NewWithT(t)
 	n := newNetwork()
 	open := func(vm string) net.PacketConn {
 		raw, err := net.ListenPacket("udp", "127.0.0.1:0")
 		g.Expect(err).NotTo(HaveOccurred())
 		t.Cleanup(func() { _ = raw.Close() })
-		n.place(vm, raw.LocalAddr().String())
-		return newWire(vm, n).packets(raw)
+		n.register(vm, raw.LocalAddr().String())
+		return newConnTracker(vm, n).wrapPacketConn(raw)
 	}
 	one, two := open("vm-1"), open("vm-2")
-	n.set(direction{"vm-1", "vm-2"}, true)
+	n.setCut(direction{"vm-1", "vm-2"}, true)
 	_, err := one.WriteTo([]byte{1}, two.LocalAddr())
 	g.Expect(err).NotTo(HaveOccurred())
 	n.heal()
@@ -144,20 +144,18 @@
 	g.Expect(b[0]).To(Equal(byte(2)))
 }
 
-// Symptom: a VM that is stopped while it starts never ends its process.
-// Sequence: the daemon starts its servers in the background; the stop comes at
-// once and shuts them down; one of them begins to serve only then.
-// Cause: a server that has not begun to serve has nothing to shut down and does
-// not remember that it was told to.
-func TestAVMThatIsStoppedWhileItStartsEnds(t *testing.T) {
+// Guards against a process that never exits when it is stopped during its start:
+// the daemon starts its servers in the background, and a server that has not begun
+// to serve ignores the shutdown and begins to serve afterwards.
+func TestStopDuringStart(t *testing.T) {
 	g := NewWithT(t)
 	f := startFleet(g, t)
 	const starts = 5
 	for range starts {
 		g.Expect(f.Restart(0, true)).To(Succeed())
 		f.VMs[0].Daemon.Halt()
-		ended := make(chan error, 1)
-		go func() { ended <- f.VMs[0].Stop() }()
-		g.Eventually(ended).WithTimeout(time.Minute).Should(Receive(BeNil()))
+		done := make(chan error, 1)
+		go func() { done <- f.VMs[0].Stop() }()
+		g.Eventually(done).WithTimeout(time.Minute).Should(Receive(BeNil()))
 	}
 }
--- a/internal/fleet/faults.go
+++ b/internal/fleet/faults.go
@@ -7,21 +7,23 @@
 	"github.com/gravitational/trace"
 )
 
-// PeerFault breaks the streams that other VMs opened to one VM, as a pause, a
-// partition or a crash would. It stands between the socket and the daemon.
+// PeerFault injects faults into the streams that other VMs opened to one VM, to
+// simulate a pause, a partition or a crash. It wraps the daemon's peer listener.
 type PeerFault struct {
 	net.Listener
 
-	mu      sync.Mutex
-	conns   map[*faultConn]struct{}
-	refuse  bool
-	reads   chan struct{}
-	writes  chan struct{}
-	waiting int
+	mu     sync.Mutex
+	conns  map[*faultConn]struct{}
+	refuse bool
+	// readGate and writeGate are closed channels while data may pass.
+	readGate  chan struct{}
+	writeGate chan struct{}
+	// blocked counts the reads and writes that wait at a gate.
+	blocked int
 }
 
-// flowing is a gate that lets everything through.
-var flowing = closedChannel()
+// openGate is a gate that lets all data pass.
+var openGate = closedChannel()
 
 func closedChannel() chan struct{} {
 	c := make(chan struct{})
@@ -30,24 +32,26 @@
 }
 
 func newPeerFault(ln net.Listener) *PeerFault {
-	return &PeerFault{Listener: ln, conns: map[*faultConn]struct{}{}, reads: flowing, writes: flowing}
+	return &PeerFault{Listener: ln, conns: map[*faultConn]struct{}{}, readGate: openGate, writeGate: openGate}
 }
 
-// Accept lets a peer in, or closes its connection at once while Refuse is set.
+// Accept returns the next connection of a peer. After Refuse it closes new
+// connections at once.
 func (p *PeerFault) Accept() (net.Conn, error) {
 	for {
 		conn, err := p.Listener.Accept()
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
-		if c := p.enter(conn); c != nil {
+		if c := p.track(conn); c != nil {
 			return c, nil
 		}
 		_ = conn.Close()
 	}
 }
 
-func (p *PeerFault) enter(conn net.Conn) net.Conn {
+// track registers a connection; it returns nil after Refuse.
+func (p *PeerFault) track(conn net.Conn) net.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.refuse {
@@ -58,48 +62,48 @@
 	return c
 }
 
-// HoldReads keeps what peers send from the daemon, as when it is paused.
-func (p *PeerFault) HoldReads() { p.hold(&p.reads) }
+// HoldReads holds back data from peers to the daemon, as if it were paused.
+func (p *PeerFault) HoldReads() { p.hold(&p.readGate) }
 
-// HoldWrites keeps what the daemon answers from its peers.
-func (p *PeerFault) HoldWrites() { p.hold(&p.writes) }
+// HoldWrites holds back the daemon's data to its peers.
+func (p *PeerFault) HoldWrites() { p.hold(&p.writeGate) }
 
 func (p *PeerFault) hold(gate *chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if *gate == flowing {
+	if *gate == openGate {
 		*gate = make(chan struct{})
 	}
 }
 
-// Release lets everything through again.
+// Release ends HoldReads, HoldWrites and Refuse.
 func (p *PeerFault) Release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, gate := range []*chan struct{}{&p.reads, &p.writes} {
-		if *gate != flowing {
+	for _, gate := range []*chan struct{}{&p.readGate, &p.writeGate} {
+		if *gate != openGate {
 			close(*gate)
-			*gate = flowing
+			*gate = openGate
 		}
 	}
 	p.refuse = false
 }
 
-// Refuse turns away new streams until Release.
+// Refuse rejects new streams until Release.
 func (p *PeerFault) Refuse() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.refuse = true
 }
 
-// Held is how many connections have something that a hold keeps back.
-func (p *PeerFault) Held() int {
+// Blocked returns the number of reads and writes that are being held back.
+func (p *PeerFault) Blocked() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.waiting
+	return p.blocked
 }
 
-// Cut ends every stream; what a hold kept back is lost.
+// Cut closes every stream; data held back is lost.
 func (p *PeerFault) Cut() {
 	p.mu.Lock()
 	conns := make([]*faultConn, 0, len(p.conns))
@@ -112,30 +116,31 @@
 	}
 }
 
-// pass waits until the gate is open; false when the connection was closed first.
-func (p *PeerFault) pass(c *faultConn, gate *chan struct{}) bool {
+// waitGate waits until the gate is open and returns true, or returns false if the
+// connection is closed first.
+func (p *PeerFault) waitGate(c *faultConn, gate *chan struct{}) bool {
 	p.mu.Lock()
-	open := *gate
-	if open == flowing {
+	ready := *gate
+	if ready == openGate {
 		p.mu.Unlock()
 		return true
 	}
-	p.waiting++
+	p.blocked++
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
-		p.waiting--
+		p.blocked--
 		p.mu.Unlock()
 	}()
 	select {
-	case <-open:
+	case <-ready:
 		return true
 	case <-c.closed:
 		return false
 	}
 }
 
-// faultConn is one stream under faults.
+// faultConn is one stream subject to the faults of a PeerFault.
 type faultConn struct {
 	net.Conn
 	fault  *PeerFault
@@ -143,25 +148,25 @@
 	closed chan struct{}
 }
 
-// Read asks the gate after reading: the daemon waits in a read all the time, and
-// bytes that come after a hold must not slip through that one.
+// Read waits at the gate after reading. The daemon always has a read pending, which
+// would otherwise deliver the first bytes that arrive after HoldReads.
 func (c *faultConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if n > 0 && !c.fault.pass(c, &c.fault.reads) {
+	if n > 0 && !c.fault.waitGate(c, &c.fault.readGate) {
 		return 0, net.ErrClosed
 	}
 	return n, err
 }
 
-// Write asks the gate before writing.
+// Write waits at the gate before writing.
 func (c *faultConn) Write(b []byte) (int, error) {
-	if !c.fault.pass(c, &c.fault.writes) {
+	if !c.fault.waitGate(c, &c.fault.writeGate) {
 		return 0, net.ErrClosed
 	}
 	return c.Conn.Write(b)
 }
 
-// Close ends the stream and what waits in it.
+// Close closes the stream and unblocks its reads and writes.
 func (c *faultConn) Close() error {
 	c.once.Do(func() {
 		close(c.closed)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet runs a whole deployment in one process on loopback: a platform
-// and upstreams as stand-ins, and real daemons. The demo, the benchmarks and
-// the tests of failures use it.
+// Package fleet runs a whole deployment in one process on loopback: real daemons
+// with a simulated platform and simulated upstreams (internal/standin). The demo,
+// the benchmarks and the failure tests use it.
 package fleet
 
 import (
@@ -22,49 +22,53 @@
 	"sycamorekeel.example/sycamorekeel/internal/standin"
 )
 
-// secret is followed by an address of the fleet: several fleets of one process
-// have VMs of the same names, and a port that one has left may be taken by
-// another, whose daemons must not pass for peers.
-const secret = "a-secret-for-daemons-of-the-fleet-at-"
+// secretPrefix is completed with the platform's address to give each fleet its own
+// peer secret. Several fleets in one process have VMs of the same names, and one
+// fleet may reuse a port of another, whose daemons must not be accepted as peers.
+const secretPrefix = "a-secret-for-daemons-of-the-fleet-at-"
 
-// endpointsTTLMS is short, as a planned stop takes as long.
+// endpointsTTLMS is short because a planned stop takes at least this long.
 const endpointsTTLMS = 500
 
-// shareLease keeps the start of a fleet short.
+// shareLease is short so that a fleet starts quickly.
 const shareLease = 200 * time.Millisecond
 
-// Options describe a deployment.
+// Options configure a deployment.
 type Options struct {
 	Log *zap.Logger
-	// Documents are published under their names; upstream addresses in them
-	// are replaced by those of the stand-ins.
+	// Documents are the configuration documents by name. Upstream addresses in
+	// them are replaced by those of the simulated upstreams.
 	Documents map[string]string
-	// VMs is the number of daemons; they are spread over DataCentres.
+	// VMs is the number of daemons, assigned to DataCentres round-robin.
 	VMs         int
 	DataCentres []string
 	Routing     pb.Routing
-	Behaviour   func(u *pb.Upstream, service string) standin.Behaviour
-	Seed        uint64
-	// Seeds lets each VM know the others' addresses from its settings.
+	// Behaviour returns the behaviour of each simulated upstream.
+	Behaviour func(u *pb.Upstream, service string) standin.Behaviour
+	// Seed makes the random choices of the upstreams reproducible.
+	Seed uint64
+	// Seeds puts the peer addresses of the other VMs into each VM's settings.
 	Seeds bool
 }
 
 // Fleet is a running deployment.
 type Fleet struct {
-	// host is the loopback IP of all its listeners, with any free port.
+	// host is the address that all listeners of the fleet use: a loopback IP with
+	// port 0, so that each gets a free port.
 	host     string
 	opts     Options
 	Platform *standin.Platform
-	// VMs is changed by Restart and Replace only.
+	// VMs is modified only by Restart and Replace.
 	VMs []*VM
-	// Upstreams by "service/id".
+	// Upstreams are the simulated upstreams by "service/id".
 	Upstreams map[string]*standin.Upstream
 	documents map[string]string
 	network   *network
-	addresses []vmListeners
-	// retired are processes that a restart has replaced.
-	retired []*VM
-	// mu is held while VMs changes.
+	// listeners are the current listeners of each VM.
+	listeners []vmListeners
+	// replaced are the processes that Restart replaced.
+	replaced []*VM
+	// mu guards Restart's changes to VMs and replaced.
 	mu sync.Mutex
 }
 
@@ -72,17 +76,18 @@
 type VM struct {
 	Settings *pb.Settings
 	Daemon   *daemon.Daemon
-	// Peers breaks the streams that other VMs opened to this one.
-	Peers  *PeerFault
-	ctx    context.Context
-	cancel context.CancelFunc
-	done   chan error
+	// PeerFault injects faults into the streams that other VMs opened to this one.
+	PeerFault *PeerFault
+	ctx       context.Context
+	cancel    context.CancelFunc
+	// done holds the result of Daemon.Run once it returns.
+	done chan error
 
-	wire      *wire
+	tracker   *connTracker
 	listeners vmListeners
 }
 
-// Start brings everything up and waits until every daemon is ready.
+// Start starts the deployment and waits until every daemon is ready.
 func Start(opts Options) (*Fleet, error) {
 	f := &Fleet{opts: opts, Upstreams: map[string]*standin.Upstream{}, documents: map[string]string{}, network: newNetwork(), host: standin.NewHost()}
 	if err := f.start(); err != nil {
@@ -103,14 +108,14 @@
 			return err
 		}
 	}
-	if err := f.openPorts(); err != nil {
+	if err := f.listenAll(); err != nil {
 		return err
 	}
 	f.documents["vms"] = f.listVMs()
 	for name, text := range f.documents {
 		p.Publish(name, []byte(text))
 	}
-	for i, l := range f.addresses {
+	for i, l := range f.listeners {
 		vm, err := f.startVM(i, l)
 		if err != nil {
 			return err
@@ -120,8 +125,8 @@
 	return f.waitReady()
 }
 
-// startUpstreams starts a stand-in for each upstream of a document and puts its
-// address in the document.
+// startUpstreams starts a simulated upstream for each upstream of a document and
+// replaces the address in the document.
 func (f *Fleet) startUpstreams(name, text string) error {
 	doc, findings := contract.Check(name, []byte(text))
 	if err := findings.Err(); err != nil {
@@ -142,7 +147,7 @@
 	return nil
 }
 
-// vmListeners are the open ports of one VM.
+// vmListeners are the listening sockets of one VM.
 type vmListeners struct {
 	caller, operator, peer net.Listener
 	gossip                 net.PacketConn
@@ -155,21 +160,21 @@
 	_ = l.gossip.Close()
 }
 
-func (f *Fleet) openPorts() error {
+func (f *Fleet) listenAll() error {
 	for range f.opts.VMs {
 		l, err := f.listen()
 		if err != nil {
 			return err
 		}
-		f.addresses = append(f.addresses, l)
+		f.listeners = append(f.listeners, l)
 	}
 	return nil
 }
 
-// listVMs is the platform's list of VMs.
+// listVMs returns the platform's document that lists the VMs.
 func (f *Fleet) listVMs() string {
 	var list strings.Builder
-	for i, l := range f.addresses {
+	for i, l := range f.listeners {
 		dc := f.dataCentre(i)
 		fmt.Fprintf(&list, "[[vms]]\nid = %q\nregion = %q\ndata_centre = %q\ncaller_address = %q\npeer_address = %q\nstate = \"live\"\n",
 			vmName(i), dc, dc, l.caller.Addr(), l.peer.Addr())
@@ -193,24 +198,24 @@
 	return l, l.listenPeer(f.host)
 }
 
-// listenPeer opens TCP and UDP on one port: another process may hold the UDP
-// port that goes with a free TCP port.
+// listenPeer listens on the same port for TCP and UDP. It retries with another port
+// because a free TCP port may be in use by another process for UDP.
 func (l *vmListeners) listenPeer(host string) error {
 	const attempts = 20
-	var last error
+	var lastErr error
 	for range attempts {
 		ln, err := net.Listen("tcp", host)
 		if err != nil {
 			return err
 		}
-		l.gossip, last = net.ListenPacket("udp", ln.Addr().String())
-		if last == nil {
+		l.gossip, lastErr = net.ListenPacket("udp", ln.Addr().String())
+		if lastErr == nil {
 			l.peer = ln
 			return nil
 		}
 		_ = ln.Close()
 	}
-	return last
+	return lastErr
 }
 
 func vmName(i int) string { return fmt.Sprintf("vm-%d", i+1) }
@@ -225,23 +230,23 @@
 		OperatorAddress: l.operator.Addr().String(),
 		PeerAddress:     l.peer.Addr().String(),
 		PlatformAddress: f.Platform.Address(),
-		PeerKeys:        []*pb.PeerKey{{Id: "k1", Secret: secret + f.Platform.Address()}},
+		PeerKeys:        []*pb.PeerKey{{Id: "k1", Secret: secretPrefix + f.Platform.Address()}},
 		Routing:         f.opts.Routing,
 		Seeds:           f.seeds(i),
 		Limits:          &pb.Limits{EndpointsTtlMs: endpointsTTLMS},
 	}
 	settings.SetDefaults(s)
-	w := newWire(s.Vm, f.network)
-	f.network.place(s.Vm, s.PeerAddress)
-	peers := newPeerFault(w.listen(l.peer))
+	tracker := newConnTracker(s.Vm, f.network)
+	f.network.register(s.Vm, s.PeerAddress)
+	peerFault := newPeerFault(tracker.wrapListener(l.peer))
 	d, err := daemon.New(s, daemon.Options{
 		Log:          f.opts.Log.With(zap.String("vm", s.Vm)),
-		Caller:       w.listen(l.caller),
-		Operator:     w.listen(l.operator),
-		Peer:         peers,
-		Gossip:       w.packets(l.gossip),
-		DialPeer:     w.dialPeer,
-		DialUpstream: w.dialUpstream,
+		Caller:       tracker.wrapListener(l.caller),
+		Operator:     tracker.wrapListener(l.operator),
+		Peer:         peerFault,
+		Gossip:       tracker.wrapPacketConn(l.gossip),
+		DialPeer:     tracker.dialPeer,
+		DialUpstream: tracker.dialUpstream,
 		ShareLease:   shareLease,
 	})
 	if err != nil {
@@ -251,21 +256,22 @@
 	vm := &VM{
 		Settings:  s,
 		Daemon:    d,
-		Peers:     peers,
+		PeerFault: peerFault,
 		ctx:       ctx,
 		cancel:    cancel,
 		done:      make(chan error, 1),
-		wire:      w,
+		tracker:   tracker,
 		listeners: l,
 	}
 	go func() { vm.done <- d.Run(ctx) }()
 	return vm, nil
 }
 
-// seeds is the peer addresses of the other VMs.
+// seeds returns the peer addresses of the other VMs, or none unless Options.Seeds
+// is set.
 func (f *Fleet) seeds(vm int) []string {
 	var out []string
-	for i, l := range f.addresses {
+	for i, l := range f.listeners {
 		if f.opts.Seeds && i != vm {
 			out = append(out, l.peer.Addr().String())
 		}
@@ -273,14 +279,14 @@
 	return out
 }
 
-// StopNow stops the daemon without a wait for callers to go elsewhere.
+// StopNow stops the daemon without waiting for callers to switch to other VMs.
 func (v *VM) StopNow() error {
 	v.Daemon.Halt()
 	return v.Stop()
 }
 
-// Replace stops a VM as planned and starts a new process with its name and
-// addresses.
+// Replace performs a planned stop of a VM and starts a new process with the same
+// name and addresses.
 func (f *Fleet) Replace(i int) error {
 	old := f.VMs[i].Settings
 	if err := f.VMs[i].Stop(); err != nil {
@@ -309,8 +315,8 @@
 }
 
 func (f *Fleet) waitReady() error {
-	const patience = 10 * time.Second
-	deadline := time.Now().Add(patience)
+	const timeout = 10 * time.Second
+	deadline := time.Now().Add(timeout)
 	for _, vm := range f.VMs {
 		for vm.Daemon.NotReady() != "" {
 			if time.Now().After(deadline) {
@@ -322,7 +328,8 @@
 	return nil
 }
 
-// Stop stops the daemon as planned and returns its error.
+// Stop performs a planned stop of the daemon and returns its error. It may be
+// called repeatedly.
 func (v *VM) Stop() error {
 	v.cancel()
 	err := <-v.done
@@ -330,14 +337,15 @@
 	return err
 }
 
-// Close ends the daemons, without the waits of a planned stop, and the stand-ins.
+// Close stops the daemons without the waits of a planned stop, then the simulated
+// upstreams and platform.
 func (f *Fleet) Close() {
 	if f.Platform != nil {
 		f.Platform.SetDown(true)
 	}
 	f.Heal()
 	var wg sync.WaitGroup
-	for _, vm := range slices.Concat(f.VMs, f.retired) {
+	for _, vm := range slices.Concat(f.VMs, f.replaced) {
 		vm.Daemon.Halt()
 		wg.Go(func() { _ = vm.Stop() })
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -16,8 +16,8 @@
 }
 
 var _ = Describe("the whole path", func() {
-	It("answers every kind of both users with no property broken", func() {
-		leaks := append([]goleak.Option{goleak.IgnoreCurrent()}, ignored...)
+	It("answers every query kind of both users without violating a property", func() {
+		leaks := append([]goleak.Option{goleak.IgnoreCurrent()}, libraryGoroutines...)
 		report, err := demo.Run(demo.Options{VMs: 3, Requests: 3})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(report.Broken).To(BeEmpty())
@@ -29,9 +29,9 @@
 	})
 })
 
-// ignored are library goroutines that outlive their owner: they end by
-// themselves after a sleep or live as long as the process.
-var ignored = []goleak.Option{
+// libraryGoroutines outlive their owner: they end by themselves after a sleep, or
+// run for the life of the process.
+var libraryGoroutines = []goleak.Option{
 	goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.(*workerPool).Start.func2"),
 	goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"),
 	goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.(*HostClient).connsCleaner"),
--- a/internal/fleet/network.go
+++ b/internal/fleet/network.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// dialPatience is how long a dial across a cut waits: nobody answers it.
-const dialPatience = time.Second
+// cutDialTimeout is how long a dial across a cut takes to fail.
+const cutDialTimeout = time.Second
 
-// direction is the way of packets from one VM to another.
+// direction identifies the traffic from one VM to another.
 type direction struct{ from, to string }
 
-// network is what the VMs of a fleet reach each other by. It can cut one
-// direction between two VMs: what is written then is held, as TCP would go on
-// repeating it, and is delivered after the cut is healed.
+// network simulates the network between the VMs of a fleet. It can cut a single
+// direction between two VMs. Stream data sent across a cut is held and delivered
+// once the cut is healed, as TCP retransmits it; datagrams are lost.
 //
-// Lock order: network.mu is a leaf; it is not held across I/O.
+// Lock order: network.mu is a leaf and is not held across I/O.
 type network struct {
 	mu sync.Mutex
-	// vms by peer address.
+	// vms maps peer addresses to VM names.
 	vms map[string]string
 	cut map[direction]bool
-	// changed is closed and replaced at each change of cut.
+	// changed is closed and replaced on every change of cut.
 	changed chan struct{}
 }
 
@@ -32,7 +32,7 @@
 	return &network{vms: map[string]string{}, cut: map[direction]bool{}, changed: make(chan struct{})}
 }
 
-func (n *network) place(vm, peerAddress string) {
+func (n *network) register(vm, peerAddress string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.vms[peerAddress] = vm
@@ -44,7 +44,7 @@
 	return n.vms[peerAddress]
 }
 
-func (n *network) set(d direction, cut bool) {
+func (n *network) setCut(d direction, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if cut {
@@ -64,72 +64,76 @@
 	n.changed = make(chan struct{})
 }
 
-// state tells whether a direction is cut, and what ends that.
-func (n *network) state(d direction) (bool, <-chan struct{}) {
+// cutState reports whether a direction is cut, and returns a channel that is
+// closed when any cut changes.
+func (n *network) cutState(d direction) (bool, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cut[d], n.changed
 }
 
-// await returns when the direction is open; false when gone came first.
-func (n *network) await(d direction, gone <-chan struct{}) bool {
+// waitOpen waits until a direction is not cut and returns true, or returns false
+// if done is closed first.
+func (n *network) waitOpen(d direction, done <-chan struct{}) bool {
 	for {
-		cut, changed := n.state(d)
+		cut, changed := n.cutState(d)
 		if !cut {
 			return true
 		}
 		select {
 		case <-changed:
-		case <-gone:
+		case <-done:
 			return false
 		}
 	}
 }
 
-// wire is every connection of one VM's process, so that its death can cut them
-// all at once.
+// connTracker tracks all connections of one VM's process, so that Kill can close
+// them at once.
 //
-// Lock order: wire.mu is a leaf; it is not held across I/O.
-type wire struct {
+// Lock order: connTracker.mu is a leaf and is not held across I/O.
+type connTracker struct {
 	vm  string
 	net *network
 
-	mu     sync.Mutex
-	dead   bool
-	open   map[*conn]struct{}
-	closed chan struct{}
+	mu    sync.Mutex
+	dead  bool
+	conns map[*conn]struct{}
+	// killed is closed when dead is set.
+	killed chan struct{}
 }
 
-func newWire(vm string, n *network) *wire {
-	return &wire{vm: vm, net: n, open: map[*conn]struct{}{}, closed: make(chan struct{})}
+func newConnTracker(vm string, n *network) *connTracker {
+	return &connTracker{vm: vm, net: n, conns: map[*conn]struct{}{}, killed: make(chan struct{})}
 }
 
-// kill closes every connection and refuses further ones.
-func (w *wire) kill() {
-	w.mu.Lock()
-	if w.dead {
-		w.mu.Unlock()
+// kill closes every connection and rejects new ones.
+func (t *connTracker) kill() {
+	t.mu.Lock()
+	if t.dead {
+		t.mu.Unlock()
 		return
 	}
-	w.dead = true
-	close(w.closed)
-	open := w.open
-	w.open = map[*conn]struct{}{}
-	w.mu.Unlock()
-	for c := range open {
+	t.dead = true
+	close(t.killed)
+	conns := t.conns
+	t.conns = map[*conn]struct{}{}
+	t.mu.Unlock()
+	for c := range conns {
 		_ = c.Close()
 	}
 }
 
-// track registers a connection; after the death it is closed at once.
-func (w *wire) track(raw net.Conn, peer string) (net.Conn, error) {
-	c := &conn{Conn: raw, wire: w, peer: peer, gone: make(chan struct{})}
-	w.mu.Lock()
-	dead := w.dead
+// track registers a connection, or closes it if the process was killed. peer is
+// the VM at the other end, or empty when traffic with it cannot be cut.
+func (t *connTracker) track(raw net.Conn, peer string) (net.Conn, error) {
+	c := &conn{Conn: raw, tracker: t, peer: peer, closed: make(chan struct{})}
+	t.mu.Lock()
+	dead := t.dead
 	if !dead {
-		w.open[c] = struct{}{}
+		t.conns[c] = struct{}{}
 	}
-	w.mu.Unlock()
+	t.mu.Unlock()
 	if dead {
 		_ = raw.Close()
 		return nil, net.ErrClosed
@@ -137,20 +141,20 @@
 	return c, nil
 }
 
-func (w *wire) forget(c *conn) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.open, c)
+func (t *connTracker) untrack(c *conn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.conns, c)
 }
 
-// listen tracks what ln accepts.
-func (w *wire) listen(ln net.Listener) net.Listener {
-	return &listener{Listener: ln, wire: w}
+// wrapListener tracks the connections that ln accepts.
+func (t *connTracker) wrapListener(ln net.Listener) net.Listener {
+	return &listener{Listener: ln, tracker: t}
 }
 
 type listener struct {
 	net.Listener
-	wire *wire
+	tracker *connTracker
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -158,97 +162,98 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.wire.track(raw, "")
+	return l.tracker.track(raw, "")
 }
 
-func (w *wire) dialUpstream(address string, timeout time.Duration) (net.Conn, error) {
+func (t *connTracker) dialUpstream(address string, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	return w.dial(ctx, address, "")
+	return t.dial(ctx, address, "")
 }
 
-// dialPeer fails after a while when either direction is cut: a connection needs
-// both.
-func (w *wire) dialPeer(ctx context.Context, address string) (net.Conn, error) {
-	peer := w.net.vmAt(address)
-	there, _ := w.net.state(direction{w.vm, peer})
-	back, _ := w.net.state(direction{peer, w.vm})
-	if !there && !back {
-		return w.dial(ctx, address, peer)
+// dialPeer connects to another VM. It times out when either direction is cut, as
+// a TCP handshake needs both.
+func (t *connTracker) dialPeer(ctx context.Context, address string) (net.Conn, error) {
+	peer := t.net.vmAt(address)
+	cutTo, _ := t.net.cutState(direction{t.vm, peer})
+	cutFrom, _ := t.net.cutState(direction{peer, t.vm})
+	if !cutTo && !cutFrom {
+		return t.dial(ctx, address, peer)
 	}
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case <-w.closed:
+	case <-t.killed:
 		return nil, net.ErrClosed
-	case <-time.After(dialPatience):
+	case <-time.After(cutDialTimeout):
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ETIMEDOUT}
 	}
 }
 
-func (w *wire) dial(ctx context.Context, address, peer string) (net.Conn, error) {
+func (t *connTracker) dial(ctx context.Context, address, peer string) (net.Conn, error) {
 	var d net.Dialer
 	raw, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return w.track(raw, peer)
+	return t.track(raw, peer)
 }
 
-// conn is a connection of a VM; peer is the VM at the other end when this one
-// dialled it.
+// conn is a connection of a VM. peer is the VM at the other end if this VM dialled
+// it, else empty.
 type conn struct {
 	net.Conn
-	wire *wire
-	peer string
-	once sync.Once
-	gone chan struct{}
+	tracker *connTracker
+	peer    string
+	once    sync.Once
+	closed  chan struct{}
 }
 
-// Read holds back what came while the way from the peer is cut.
+// Read holds back received data while the direction from the peer is cut.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if c.peer != "" && !c.wire.net.await(direction{c.peer, c.wire.vm}, c.gone) {
+	if c.peer != "" && !c.tracker.net.waitOpen(direction{c.peer, c.tracker.vm}, c.closed) {
 		return 0, net.ErrClosed
 	}
 	return n, err
 }
 
+// Write blocks while the direction to the peer is cut.
 func (c *conn) Write(b []byte) (int, error) {
-	if c.peer != "" && !c.wire.net.await(direction{c.wire.vm, c.peer}, c.gone) {
+	if c.peer != "" && !c.tracker.net.waitOpen(direction{c.tracker.vm, c.peer}, c.closed) {
 		return 0, net.ErrClosed
 	}
 	return c.Conn.Write(b)
 }
 
-// SyscallConn lets a client look at the socket, as it would without this layer.
+// SyscallConn gives clients access to the raw socket, as a *net.TCPConn does.
 func (c *conn) SyscallConn() (syscall.RawConn, error) {
 	return c.Conn.(*net.TCPConn).SyscallConn()
 }
 
 func (c *conn) Close() error {
 	c.once.Do(func() {
-		close(c.gone)
-		c.wire.forget(c)
+		close(c.closed)
+		c.tracker.untrack(c)
 	})
 	return c.Conn.Close()
 }
 
-// packets filters the datagrams of one VM.
-func (w *wire) packets(pc net.PacketConn) net.PacketConn {
-	return &packetConn{PacketConn: pc, wire: w}
+// wrapPacketConn drops datagrams that the VM sends across a cut or after Kill.
+func (t *connTracker) wrapPacketConn(pc net.PacketConn) net.PacketConn {
+	return &packetConn{PacketConn: pc, tracker: t}
 }
 
 type packetConn struct {
 	net.PacketConn
-	wire *wire
+	tracker *connTracker
 }
 
-// WriteTo loses what goes over a cut or comes from the dead.
+// WriteTo silently drops datagrams across a cut or after Kill.
 func (p *packetConn) WriteTo(b []byte, to net.Addr) (int, error) {
-	cut, _ := p.wire.net.state(direction{p.wire.vm, p.wire.net.vmAt(to.String())})
+	cut, _ := p.tracker.net.cutState(direction{p.tracker.vm, p.tracker.net.vmAt(to.String())})
 	select {
-	case <-p.wire.closed:
+	case <-p.tracker.killed:
 		return len(b), nil
 	default:
 	}
--- a/internal/fleet/once_test.go
+++ b/internal/fleet/once_test.go
@@ -22,21 +22,22 @@
 	"sycamorekeel.example/sycamorekeel/internal/standin"
 )
 
-// payments is a customer with one non-idempotent kind over one shard with two
-// replicas.
+// payments is a customer with one non-idempotent query kind over one shard with
+// two replicas.
 var payments = standin.Office(standin.Kind{
 	Name: "pay", Service: "royalty", CoverageFloor: 1, RetryPercent: 10, Merge: "single",
 }) + standin.Service{
 	Name: "royalty", Path: "/pay", Upstreams: []string{"a", "b"}, Slots: 20, Connections: 40, Shards: [][]string{{"a", "b"}},
 }.Text()
 
-// deployment is a running fleet and what its callers were told.
+// deployment is a running fleet and the outcomes reported to its callers.
 type deployment struct {
 	*fleet.Fleet
+	// serial is the number of request bodies created.
 	serial int
 	mu     sync.Mutex
-	// notRun are the bodies of which "not run" was said, ran those of which it
-	// was said that they ran, each with the reason.
+	// notRun maps the bodies reported as not run to the reason; ran does the same
+	// for those reported as run.
 	notRun, ran map[string]string
 }
 
@@ -60,7 +61,8 @@
 	return d
 }
 
-// checkExecutions holds every body against the stand-ins' own logs.
+// checkExecutions compares the reported outcome of every body with the logs of the
+// simulated upstreams. No body may run more than once.
 func (d *deployment) checkExecutions() {
 	for _, u := range d.Upstreams {
 		Expect(u.MostRuns()).To(BeNumerically("<=", 1))
@@ -71,13 +73,14 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for body, reason := range d.notRun {
-		Expect(d.runs(body)).To(BeZero(), "not run ("+reason+") was said of "+body)
+		Expect(d.runs(body)).To(BeZero(), "reported as not run ("+reason+"): "+body)
 	}
 	for body, reason := range d.ran {
-		Expect(d.runs(body)).To(Equal(1), "ran ("+reason+") was said of "+body)
+		Expect(d.runs(body)).To(Equal(1), "reported as run ("+reason+"): "+body)
 	}
 }
 
+// runs returns how many times the upstreams have run a body.
 func (d *deployment) runs(body string) int {
 	n := 0
 	for _, u := range d.Upstreams {
@@ -86,7 +89,8 @@
 	return n
 }
 
-func (d *deployment) change(edit func(*standin.Behaviour)) {
+// changeUpstreams edits the behaviour of every upstream.
+func (d *deployment) changeUpstreams(edit func(*standin.Behaviour)) {
 	for _, u := range d.Upstreams {
 		u.Change(edit)
 	}
@@ -94,13 +98,14 @@
 
 func bodyOf(serial int) string { return fmt.Sprintf(`{"key":"royalty-%d"}`, serial) }
 
-// operation is one request and its name.
+// operation is one request and its idempotency key.
 type operation struct {
 	key  string
 	body string
 }
 
-// operations takes a lease of a VM and names n requests by it.
+// operations obtains an operation lease from a VM and creates n requests with keys
+// under it.
 func (d *deployment) operations(vm, n int) []operation {
 	var e callerapi.Endpoints
 	status, body := d.do(vm, fasthttp.MethodGet, callerapi.EndpointsPath, "", "", 0)
@@ -115,12 +120,13 @@
 	return out
 }
 
-// result is what a caller was told.
+// result is the answer or error that a caller receives.
 type result struct {
 	answer frontend.Answer
 	err    callerapi.ErrorDetail
 }
 
+// String returns "answered", or the reason and whether the request ran.
 func (r result) String() string {
 	if r.err.Reason == "" {
 		return "answered"
@@ -128,8 +134,8 @@
 	return string(r.err.Reason) + "/" + string(r.err.Ran)
 }
 
-// send sends one copy of an operation to a VM; a deadline of 0 leaves it to the
-// contract.
+// send sends one copy of an operation to a VM and records the reported outcome. A
+// deadline of 0 leaves the deadline to the configuration.
 func (d *deployment) send(vm int, op operation, deadline time.Duration) result {
 	status, body := d.do(vm, fasthttp.MethodPost, callerapi.QueryPath+"pay", op.key, op.body, deadline)
 	var r result
@@ -174,8 +180,8 @@
 	return resp.StatusCode(), append([]byte(nil), resp.Body()...)
 }
 
-// each sends a copy of every operation at the same time and counts the results.
-func (d *deployment) each(vm int, ops []operation, deadline time.Duration) map[string]int {
+// sendAll sends one copy of every operation concurrently and counts the results.
+func (d *deployment) sendAll(vm int, ops []operation, deadline time.Duration) map[string]int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	out := map[string]int{}
@@ -192,8 +198,8 @@
 	return out
 }
 
-// closeUpstreams ends the upstreams and waits until the owners have noticed: a
-// request that was written to a connection of which they had not is unknown.
+// closeUpstreams closes the upstreams and waits until the owners notice. Until then
+// a request may be written to a closed connection, which leaves its outcome unknown.
 func closeUpstreams(d *deployment) {
 	for _, u := range d.Upstreams {
 		u.Close()
@@ -202,8 +208,9 @@
 		WithTimeout(10 * time.Second).Should(Equal(refusal.NotRun))
 }
 
-// notOwner is a VM that owns neither replica; its requests cross a stream.
-func (d *deployment) notOwner() int {
+// nonOwner returns a VM that owns neither replica, so that its requests go through a
+// peer stream.
+func (d *deployment) nonOwner() int {
 	for i, vm := range d.VMs {
 		if !ownsAny(vm) {
 			return i
@@ -215,7 +222,7 @@
 
 func ownsAny(vm *fleet.VM) bool { return len(vm.Daemon.Status().Owned) > 0 }
 
-// owners is the VMs that own a replica.
+// owners returns the VMs that own a replica.
 func (d *deployment) owners() []*fleet.VM {
 	var out []*fleet.VM
 	for _, vm := range d.VMs {
@@ -226,27 +233,27 @@
 	return out
 }
 
-const soon = 300 * time.Millisecond
+// shortDeadline is the deadline of requests that are expected to time out.
+const shortDeadline = 300 * time.Millisecond
 
-// settled waits until a payment gets through: the fault before is over.
-func (d *deployment) settled(vm int) {
+// waitHealthy waits until a payment succeeds, so that the previous fault is over.
+func (d *deployment) waitHealthy(vm int) {
 	Eventually(func() string {
 		r := d.send(vm, d.operations(vm, 1)[0], 0)
 		return r.String() + " " + r.err.Message
 	}).WithTimeout(20 * time.Second).Should(Equal("answered "))
 }
 
-// The cases share one fleet, as each start takes seconds; the last ones leave
+// The cases share one fleet because each start takes seconds. The last ones leave
 // parts of it stopped.
 var _ = Describe("a non-idempotent request", Ordered, func() {
 	var d *deployment
 	BeforeAll(func() { d = startPayments() })
 
-	// Symptom: a payment is made twice.
-	// Sequence: the answer is lost; the caller sends the request again, to the VM
-	// that ran it and to the others.
-	// Cause: a VM that runs what another one has run.
-	It("gives the first answer to resends at every VM", func() {
+	// Guards against a payment being made twice: the answer is lost, the caller
+	// resends the request to the VM that ran it and to the others, and a VM runs a
+	// request that another one has run.
+	It("returns the first answer to resends at every VM", func() {
 		op := d.operations(0, 1)[0]
 		first := d.send(0, op, 0)
 		Expect(first.String()).To(Equal("answered"))
@@ -256,165 +263,160 @@
 		Expect(d.runs(op.body)).To(Equal(1))
 	})
 
-	// Symptom: a payment is made twice.
-	// Sequence: an impatient caller sends copies of one request to all VMs at once,
-	// while the first is under way.
-	// Cause: two VMs that both hold the key and both run it.
-	It("runs once when all VMs get copies at once", func() {
-		d.settled(0)
-		d.change(func(b *standin.Behaviour) { b.Median = 20 * time.Millisecond })
-		DeferCleanup(d.change, func(b *standin.Behaviour) { b.Median = time.Millisecond })
+	// Guards against a payment being made twice: a caller sends copies of one
+	// request to all VMs concurrently, and two VMs accept the key and run it.
+	It("runs once when all VMs receive copies concurrently", func() {
+		d.waitHealthy(0)
+		d.changeUpstreams(func(b *standin.Behaviour) { b.Median = 20 * time.Millisecond })
+		DeferCleanup(d.changeUpstreams, func(b *standin.Behaviour) { b.Median = time.Millisecond })
 		ops := d.operations(0, 20)
 		var wg sync.WaitGroup
 		for range 2 {
 			for vm := range d.VMs {
 				wg.Go(func() {
 					defer GinkgoRecover()
-					Expect(d.each(vm, ops, 0)).To(Equal(map[string]int{"answered": 20}))
+					Expect(d.sendAll(vm, ops, 0)).To(Equal(map[string]int{"answered": 20}))
 				})
 			}
 		}
 		wg.Wait()
 	})
 
-	// Symptom: a payment is made twice after an upstream was slow.
-	// Sequence: the upstream takes the request and does not answer in time; the
-	// caller is told "unknown" and sends it again, also when the upstream is well.
-	// Cause: a timeout taken for a failure.
+	// Guards against a payment being made twice after an upstream was slow: the
+	// upstream does not answer in time, the caller receives "unknown" and resends
+	// the request, also after the upstream has recovered, and the timeout is treated
+	// as a failure.
 	It("stays unknown after a timeout of the upstream", func() {
-		d.settled(0)
-		// A cancellation that the upstream confirms in time proves that the request
-		// has run, so that nothing would stay unknown: it confirms none here.
-		d.change(func(b *standin.Behaviour) { b.Hang, b.IgnoreCancels = true, true })
+		d.waitHealthy(0)
+		// The upstreams ignore cancellations: one confirmed in time proves that the
+		// request has run, so no outcome would stay unknown.
+		d.changeUpstreams(func(b *standin.Behaviour) { b.Hang, b.IgnoreCancels = true, true })
 		ops := d.operations(0, 5)
-		first := d.each(0, ops, soon)
-		// Those that never got a slot are proved not run, and held against the
-		// upstreams' logs at the end.
+		first := d.sendAll(0, ops, shortDeadline)
+		// Requests that never got a slot are reported as not run; checkExecutions
+		// compares these with the upstreams' logs.
 		Expect(first).NotTo(HaveKey("answered"))
 		Expect(first).NotTo(HaveKey("upstream_failed/ran"))
 		Expect(first).To(HaveKey("outcome_unknown/unknown"))
-		d.change(func(b *standin.Behaviour) { b.Hang, b.IgnoreCancels = false, false })
+		d.changeUpstreams(func(b *standin.Behaviour) { b.Hang, b.IgnoreCancels = false, false })
 		for _, u := range d.Upstreams {
 			u.ReleaseAll()
 		}
 		for vm := range d.VMs {
-			Expect(d.each(vm, ops, 0)).To(Equal(first))
+			Expect(d.sendAll(vm, ops, 0)).To(Equal(first))
 		}
 	})
 
-	// Symptom: the caller is told "not run" and the owner runs the request later.
-	// Sequence: the owners are paused with the request in their sockets; its
-	// deadline passes; the owners wake.
-	// Cause: a cancellation that was sent taken for one that was confirmed.
-	It("is unknown while the owners are paused and runs at most once when they wake", func() {
-		d.settled(0)
-		from := d.notOwner()
+	// Guards against reporting "not run" for a request that the owner runs later:
+	// the owners are paused with the request in their socket buffers, its deadline
+	// passes, the owners resume, and a cancellation that was sent is treated as
+	// confirmed.
+	It("is unknown while the owners are paused and runs at most once after they resume", func() {
+		d.waitHealthy(0)
+		from := d.nonOwner()
 		ops := d.operations(from, 5)
 		for _, vm := range d.owners() {
-			vm.Peers.HoldReads()
+			vm.PeerFault.HoldReads()
 		}
-		Expect(d.each(from, ops, soon)).To(Equal(map[string]int{"outcome_unknown/unknown": 5}))
+		Expect(d.sendAll(from, ops, shortDeadline)).To(Equal(map[string]int{"outcome_unknown/unknown": 5}))
 		for _, vm := range d.owners() {
-			vm.Peers.Release()
+			vm.PeerFault.Release()
 		}
-		Expect(d.each(from, ops, 0)).To(Equal(map[string]int{"outcome_unknown/unknown": 5}))
-		d.settled(from)
+		Expect(d.sendAll(from, ops, 0)).To(Equal(map[string]int{"outcome_unknown/unknown": 5}))
+		d.waitHealthy(from)
 	})
 
-	// Symptom: a forwarded payment is made twice.
-	// Sequence: the stream to the VM that the key names breaks after the request
-	// was handed over; the caller sends it again over a new stream.
-	// Cause: a forward that is repeated, or run by the VM that could not forward.
-	It("is asked for again after a forward was lost", func() {
-		d.settled(0)
+	// Guards against a forwarded payment being made twice: the stream to the VM that
+	// the key names breaks after the request was forwarded, the caller resends it
+	// over a new stream, and the forward is repeated as a new request, or run by the
+	// VM that could not forward it.
+	It("is answered on a resend after a forward was lost", func() {
+		d.waitHealthy(0)
 		ops := d.operations(0, 5)
-		d.VMs[0].Peers.HoldWrites()
+		d.VMs[0].PeerFault.HoldWrites()
 		lost := make(chan map[string]int, 1)
 		go func() {
 			defer GinkgoRecover()
-			lost <- d.each(1, ops, 0)
+			lost <- d.sendAll(1, ops, 0)
 		}()
 		for _, op := range ops {
 			Eventually(func() int { return d.runs(op.body) }).WithTimeout(10 * time.Second).Should(Equal(1))
 		}
-		d.VMs[0].Peers.Cut()
+		d.VMs[0].PeerFault.Cut()
 		Expect(<-lost).To(Equal(map[string]int{"outcome_unknown/unknown": 5}))
-		d.VMs[0].Peers.Release()
-		Eventually(func() map[string]int { return d.each(1, ops, 0) }).WithTimeout(10 * time.Second).Should(Equal(map[string]int{"answered": 5}))
+		d.VMs[0].PeerFault.Release()
+		Eventually(func() map[string]int { return d.sendAll(1, ops, 0) }).WithTimeout(10 * time.Second).Should(Equal(map[string]int{"answered": 5}))
 	})
 
-	// Symptom: a payment is made twice, or "not run" is said of one that was made.
-	// Sequence: the VM that ran it can be reached by its callers and by no peer;
-	// the caller sends the request to the others; the VM comes back.
-	// Cause: a VM that runs what it cannot forward, or calls it "not run".
+	// Guards against a payment being made twice, or reported as not run although it
+	// ran: the VM that ran it is reachable by callers but by no peer, the caller
+	// resends the request to other VMs, and one of these runs a request that it
+	// cannot forward, or reports it as not run. Then the VM is reachable again.
 	It("is never run elsewhere while its VM is cut off", func() {
-		d.settled(0)
+		d.waitHealthy(0)
 		ops := d.operations(0, 5)
-		Expect(d.each(0, ops, 0)).To(Equal(map[string]int{"answered": 5}))
-		d.VMs[0].Peers.Refuse()
-		d.VMs[0].Peers.Cut()
+		Expect(d.sendAll(0, ops, 0)).To(Equal(map[string]int{"answered": 5}))
+		d.VMs[0].PeerFault.Refuse()
+		d.VMs[0].PeerFault.Cut()
 		for vm := 1; vm < len(d.VMs); vm++ {
 			for _, op := range ops {
-				Expect(d.send(vm, op, soon).err.Ran).To(Equal(refusal.Unknown))
+				Expect(d.send(vm, op, shortDeadline).err.Ran).To(Equal(refusal.Unknown))
 			}
 		}
-		d.VMs[0].Peers.Release()
+		d.VMs[0].PeerFault.Release()
 		for vm := 1; vm < len(d.VMs); vm++ {
-			Eventually(func() map[string]int { return d.each(vm, ops, 0) }).
+			Eventually(func() map[string]int { return d.sendAll(vm, ops, 0) }).
 				WithTimeout(10 * time.Second).Should(Equal(map[string]int{"answered": 5}))
 		}
 	})
 
-	// Symptom: a payment is made twice, or "not run" is said of one that was made.
-	// Sequence: the VM is replaced by a process of the same name; the caller sends
-	// its request again to the new one and to another VM.
-	// Cause: a process that takes keys of a former incarnation for its own.
+	// Guards against a payment being made twice, or reported as not run although it
+	// ran: a new process replaces the VM under the same name, the caller resends the
+	// request to it and to other VMs, and the process treats keys of the previous
+	// incarnation as its own.
 	It("is never run again by a replaced VM", func() {
-		d.settled(0)
+		d.waitHealthy(0)
 		op := d.operations(0, 1)[0]
 		Expect(d.send(0, op, 0).String()).To(Equal("answered"))
 		Expect(d.Replace(0)).To(Succeed())
 		for vm := range d.VMs {
-			r := d.send(vm, op, soon)
+			r := d.send(vm, op, shortDeadline)
 			Expect(r.err.Ran).To(Equal(refusal.Unknown), r.String())
 		}
 		Expect(d.send(0, d.operations(0, 1)[0], 0).String()).To(Equal("answered"))
 	})
 
-	// Symptom: a payment in flight is cut off by a planned stop, or its caller
-	// cannot learn of it.
-	// Sequence: the VM is told to stop while requests run; a copy of one comes.
-	// Cause: a stop that refuses or ends what is under way.
-	It("is finished and answered during a planned stop", func() {
-		d.settled(0)
-		d.change(func(b *standin.Behaviour) { b.Median = 300 * time.Millisecond })
+	// Guards against a planned stop that aborts a payment in flight, or refuses a
+	// resend of it, so that the caller cannot learn its outcome.
+	It("completes and is answered during a planned stop", func() {
+		d.waitHealthy(0)
+		d.changeUpstreams(func(b *standin.Behaviour) { b.Median = 300 * time.Millisecond })
 		ops := d.operations(0, 5)
-		waiting := func() int { return d.counter(0, `sycamorekeel_once_operations_total{verdict="running"}`) }
-		before := waiting()
-		told := make(chan map[string]int, 2)
-		sendAll := func(vm int) {
+		running := func() int { return d.counter(0, `sycamorekeel_once_operations_total{verdict="running"}`) }
+		before := running()
+		results := make(chan map[string]int, 2)
+		sendCopies := func(vm int) {
 			defer GinkgoRecover()
-			told <- d.each(vm, ops, 0)
+			results <- d.sendAll(vm, ops, 0)
 		}
-		// The second copies come by another VM, which forwards them.
-		go sendAll(0)
-		go sendAll(1)
-		Eventually(waiting).WithTimeout(10 * time.Second).Should(Equal(before + 5))
+		// Another VM forwards the second copies.
+		go sendCopies(0)
+		go sendCopies(1)
+		Eventually(running).WithTimeout(10 * time.Second).Should(Equal(before + 5))
 		Expect(d.VMs[0].Stop()).To(Succeed())
-		Expect(<-told).To(Equal(map[string]int{"answered": 5}))
-		Expect(<-told).To(Equal(map[string]int{"answered": 5}))
+		Expect(<-results).To(Equal(map[string]int{"answered": 5}))
+		Expect(<-results).To(Equal(map[string]int{"answered": 5}))
 	})
 
-	// Symptom: a caller is told "unknown" of a payment that never left.
-	// Sequence: both upstreams refuse connections before any byte is sent.
-	// Cause: a refused connection taken for a timeout.
-	It("is proved not run when nothing was written", func() {
+	// Guards against reporting "unknown" for a payment that was never sent: both
+	// upstreams refuse connections, and this is treated as a timeout.
+	It("is reported as not run when no byte was written", func() {
 		closeUpstreams(d)
-		Expect(d.each(1, d.operations(1, 5), 0)).To(HaveKeyWithValue(HaveSuffix("/not_run"), 5))
+		Expect(d.sendAll(1, d.operations(1, 5), 0)).To(HaveKeyWithValue(HaveSuffix("/not_run"), 5))
 	})
 })
 
-// counter reads a counter of a VM from its operator address.
+// counter returns the value of a counter in a VM's metrics, or 0 if it is absent.
 func (d *deployment) counter(vm int, name string) int {
 	_, body, err := fasthttp.Get(nil, "http://"+d.VMs[vm].Settings.OperatorAddress+"/metrics")
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/fleet/poison_test.go
+++ b/internal/fleet/poison_test.go
@@ -14,27 +14,28 @@
 )
 
 const (
-	// poison is the body that crashes upstreams, healthy one that does not.
+	// poison is a query that crashes every upstream that runs it; healthy is one
+	// that does not.
 	poison  = `{"query":"poison"}`
 	healthy = `{"query":"x"}`
-	// mostRuns is how often a request that has crashed three upstreams may run later on.
-	mostRuns = 3
-	// contact is how long VMs have when they must have heard of what others know.
-	contact = 3 * time.Second
+	// maxRuns limits further runs of a request that has crashed three upstreams.
+	maxRuns = 3
+	// propagationTime is the time within which all VMs must learn of the crashes.
+	propagationTime = 3 * time.Second
 )
 
-// poisoned is a fleet whose upstreams end under one body.
-type poisoned struct {
+// crashFleet is a fleet whose upstreams crash when they run the poison query.
+type crashFleet struct {
 	*fleet.Fleet
 	t      *testing.T
 	client fasthttp.Client
 }
 
-func startPoisoned(t *testing.T) *poisoned {
+func startCrashFleet(t *testing.T) *crashFleet {
 	t.Helper()
 	f, err := fleet.Start(fleet.Options{
 		Log:         zap.NewNop(),
-		Documents:   map[string]string{"lease": scattered()},
+		Documents:   map[string]string{"lease": scatteredDocument()},
 		VMs:         3,
 		DataCentres: []string{"d1", "d2", "d3"},
 		Seed:        5,
@@ -46,11 +47,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(f.Close)
-	return &poisoned{Fleet: f, t: t}
+	return &crashFleet{Fleet: f, t: t}
 }
 
-// ask gives the status of a query at a VM.
-func (p *poisoned) ask(vm int, body string) int {
+// query sends a query to a VM and returns the status.
+func (p *crashFleet) query(vm int, body string) int {
 	p.t.Helper()
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -65,8 +66,8 @@
 	return resp.StatusCode()
 }
 
-// runs is how often upstreams have begun to run the request that crashes them.
-func (p *poisoned) runs() int {
+// runs returns how many times upstreams have begun to run the poison query.
+func (p *crashFleet) runs() int {
 	n := 0
 	for _, u := range p.Upstreams {
 		n += u.RunsOf(poison)
@@ -74,8 +75,9 @@
 	return n
 }
 
-// revive starts the upstreams that have ended, and waits until all VMs answer with them.
-func (p *poisoned) revive() {
+// reviveUpstreams restarts the crashed upstreams and waits until every VM answers a
+// healthy query.
+func (p *crashFleet) reviveUpstreams() {
 	p.t.Helper()
 	for _, u := range p.Upstreams {
 		if err := u.Revive(); err != nil {
@@ -83,33 +85,32 @@
 		}
 	}
 	for vm := range p.VMs {
-		for end := time.Now().Add(20 * time.Second); p.ask(vm, healthy) != fasthttp.StatusOK; time.Sleep(5 * time.Millisecond) {
-			if time.Now().After(end) {
-				p.t.Fatalf("VM %d does not answer again", vm)
+		for deadline := time.Now().Add(20 * time.Second); p.query(vm, healthy) != fasthttp.StatusOK; time.Sleep(5 * time.Millisecond) {
+			if time.Now().After(deadline) {
+				p.t.Fatalf("VM %d does not answer after the upstreams were restarted", vm)
 			}
 		}
 	}
 }
 
-// Symptom: upstreams end again and again, each time all replicas of all shards.
-// Sequence: a query crashes each upstream that runs it; its caller asks again at any VM, and
-// the owners send it to the upstreams that are back.
-// Cause: the path over owners took each attempt for the first of its kind.
+// Guards against repeated crashes of all replicas of all shards: a query crashes
+// each upstream that runs it, its caller resends it to any VM, and the owners send
+// it to the restarted upstreams because they do not recognise earlier attempts.
 func TestAPoisonRequestIsWithheldByOwners(t *testing.T) {
-	p := startPoisoned(t)
+	p := startCrashFleet(t)
 	for i := 0; p.runs() < 3; i++ {
-		p.ask(i%len(p.VMs), poison)
-		p.revive()
+		p.query(i%len(p.VMs), poison)
+		p.reviveUpstreams()
 	}
-	time.Sleep(contact)
+	time.Sleep(propagationTime)
 	before := p.runs()
 	for range 3 {
 		for vm := range p.VMs {
-			p.ask(vm, poison)
-			p.revive()
+			p.query(vm, poison)
+			p.reviveUpstreams()
 		}
 	}
-	if n := p.runs() - before; n > mostRuns {
-		t.Errorf("after %d runs it ran %d times more in 9 attempts", before, n)
+	if n := p.runs() - before; n > maxRuns {
+		t.Errorf("after %d runs, 9 further attempts ran the query %d times", before, n)
 	}
 }
--- a/internal/fleet/publish.go
+++ b/internal/fleet/publish.go
@@ -1,7 +1,8 @@
 package fleet
 
-// Edit publishes a document again as edit makes it from its last text.
-func (f *Fleet) Edit(name string, edit func(text string) string) {
+// EditDocument applies edit to the published text of a document and publishes the
+// result.
+func (f *Fleet) EditDocument(name string, edit func(text string) string) {
 	f.documents[name] = edit(f.documents[name])
 	f.Platform.Publish(name, []byte(f.documents[name]))
 }
--- a/internal/fleet/stop_test.go
+++ b/internal/fleet/stop_test.go
@@ -20,8 +20,8 @@
 	"sycamorekeel.example/sycamorekeel/internal/standin"
 )
 
-// searches is a customer with one idempotent and one non-idempotent kind over
-// four shards.
+// searches is a customer with one idempotent and one non-idempotent query kind
+// over four shards.
 var searches = standin.Office(
 	standin.Kind{Name: "search", Service: "lease", CoverageFloor: 1, Idempotent: true, RetryPercent: 10, Merge: "top_k", MaxHits: 5},
 	standin.Kind{Name: "pay", Service: "lease", CoverageFloor: 1, RetryPercent: 10, Merge: "single"},
@@ -30,24 +30,27 @@
 	Shards: [][]string{{"a", "b"}, {"b", "c"}, {"c", "d"}, {"d", "a"}},
 }.Text()
 
-// caller is one that keeps what endpoints told it for its time to live, and
-// goes round the addresses.
+// caller caches the endpoints for their time to live and uses them round-robin.
 type caller struct {
-	name    string
-	client  *fasthttp.Client
-	list    []string
-	expires time.Time
-	serial  int
-	tally   *tally
+	name      string
+	client    *fasthttp.Client
+	endpoints []string
+	expires   time.Time
+	serial    int
+	results   *callerResults
 }
 
-// tally is what all callers were told.
-type tally struct {
-	mu       sync.Mutex
+// callerResults collects the results of all callers.
+type callerResults struct {
+	mu sync.Mutex
+	// answered counts successful queries by address of the VM.
 	answered map[string]int
-	refused  map[string]int
-	cut      []string
-	notRun   []string
+	// refused counts refusals by query kind, reason and whether the query ran.
+	refused map[string]int
+	// failed are the transport errors.
+	failed []string
+	// notRun are the bodies of queries reported as not run.
+	notRun []string
 }
 
 func (c *caller) do(address, method, path, body string) (int, []byte, error) {
@@ -62,7 +65,7 @@
 	return resp.StatusCode(), append([]byte(nil), resp.Body()...), err
 }
 
-// refresh asks the addresses it knows, one after another, which to use.
+// refresh fetches the endpoints from the first known address that answers.
 func (c *caller) refresh(known []string) error {
 	for _, address := range known {
 		status, body, err := c.do(address, fasthttp.MethodGet, callerapi.EndpointsPath, "")
@@ -73,9 +76,9 @@
 		if err := json.Unmarshal(body, &e); err != nil {
 			return err
 		}
-		c.list = nil
-		for _, one := range e.Endpoints {
-			c.list = append(c.list, one.Address)
+		c.endpoints = nil
+		for _, endpoint := range e.Endpoints {
+			c.endpoints = append(c.endpoints, endpoint.Address)
 		}
 		c.expires = time.Now().Add(time.Duration(e.TTLMS) * time.Millisecond)
 		return nil
@@ -83,47 +86,46 @@
 	return fmt.Errorf("no address of %v answers", known)
 }
 
-// query sends one request and notes what came of it.
+// query sends one request and records its result.
 func (c *caller) query(kind string) error {
 	if !time.Now().Before(c.expires) {
-		if err := c.refresh(c.list); err != nil {
+		if err := c.refresh(c.endpoints); err != nil {
 			return err
 		}
 	}
 	c.serial++
-	address := c.list[c.serial%len(c.list)]
+	address := c.endpoints[c.serial%len(c.endpoints)]
 	body := fmt.Sprintf(`{"key":"%s-%s-%d"}`, kind, c.name, c.serial)
 	status, reply, err := c.do(address, fasthttp.MethodPost, callerapi.QueryPath+kind, body)
-	c.tally.mu.Lock()
-	defer c.tally.mu.Unlock()
+	c.results.mu.Lock()
+	defer c.results.mu.Unlock()
 	if err != nil {
-		c.tally.cut = append(c.tally.cut, kind+": "+err.Error())
+		c.results.failed = append(c.results.failed, kind+": "+err.Error())
 		return nil
 	}
 	if status == http.StatusOK {
-		c.tally.answered[address]++
+		c.results.answered[address]++
 		return nil
 	}
 	var e callerapi.ErrorBody
 	if err := json.Unmarshal(reply, &e); err != nil {
 		return err
 	}
-	c.tally.refused[kind+" "+string(e.Error.Reason)+"/"+string(e.Error.Ran)]++
+	c.results.refused[kind+" "+string(e.Error.Reason)+"/"+string(e.Error.Ran)]++
 	if e.Error.Ran == refusal.NotRun {
-		c.tally.notRun = append(c.tally.notRun, body)
+		c.results.notRun = append(c.results.notRun, body)
 	}
 	c.expires = time.Time{}
 	return nil
 }
 
 var _ = Describe("a planned stop under load", func() {
-	// Symptom: callers see broken connections or failed requests each time a VM
-	// is replaced.
-	// Sequence: a VM is told to stop while callers hold its address, requests
-	// are under way on it, and peers have sub-requests in its queues.
-	// Cause: it refuses before its callers can know, gives its upstreams up
-	// before its peers know, or closes what is under way.
-	It("cuts nothing off and refuses only what it says was not run", func() {
+	// Guards against broken connections and failed requests when a VM stops while
+	// callers hold its address, it has requests in flight, and peers have
+	// sub-requests in its queues. The VM must not refuse requests before its callers
+	// learn of the stop, release its upstreams before its peers learn of it, or
+	// abort requests in flight.
+	It("aborts no request and refuses only requests that it reports as not run", func() {
 		f, err := fleet.Start(fleet.Options{
 			Log:         zap.NewNop(),
 			Documents:   map[string]string{"searches": searches},
@@ -140,11 +142,11 @@
 		for _, vm := range f.VMs {
 			all = append(all, vm.Settings.CallerAddress)
 		}
-		t := &tally{answered: map[string]int{}, refused: map[string]int{}}
+		results := &callerResults{answered: map[string]int{}, refused: map[string]int{}}
 		var stop atomic.Bool
 		var wg sync.WaitGroup
 		for i := range 8 {
-			c := &caller{name: fmt.Sprint(i), tally: t, client: &fasthttp.Client{
+			c := &caller{name: fmt.Sprint(i), results: results, client: &fasthttp.Client{
 				MaxIdemponentCallAttempts: 1,
 				RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 			}}
@@ -164,23 +166,23 @@
 		}
 		served := func(address string) func() int {
 			return func() int {
-				t.mu.Lock()
-				defer t.mu.Unlock()
-				return t.answered[address]
+				results.mu.Lock()
+				defer results.mu.Unlock()
+				return results.answered[address]
 			}
 		}
 		Eventually(served(all[1])).WithTimeout(20 * time.Second).Should(BeNumerically(">", 100))
 		Expect(f.VMs[1].Stop()).To(Succeed())
-		after := served(all[0])()
-		Eventually(served(all[0])).WithTimeout(20 * time.Second).Should(BeNumerically(">", after+100))
+		answered := served(all[0])()
+		Eventually(served(all[0])).WithTimeout(20 * time.Second).Should(BeNumerically(">", answered+100))
 		stop.Store(true)
 		wg.Wait()
-		GinkgoWriter.Println("answered", t.answered, "refused", t.refused)
-		Expect(t.cut).To(BeEmpty())
-		for what := range t.refused {
-			Expect(what).To(HaveSuffix("/not_run"))
+		GinkgoWriter.Println("answered", results.answered, "refused", results.refused)
+		Expect(results.failed).To(BeEmpty())
+		for outcome := range results.refused {
+			Expect(outcome).To(HaveSuffix("/not_run"))
 		}
-		for _, body := range t.notRun {
+		for _, body := range results.notRun {
 			for _, u := range f.Upstreams {
 				Expect(u.RunsOf(body)).To(BeZero(), body)
 			}
--- a/internal/fleet/unknown_test.go
+++ b/internal/fleet/unknown_test.go
@@ -11,72 +11,74 @@
 	"sycamorekeel.example/sycamorekeel/internal/standin"
 )
 
-// fault is one way in which the outcome of a request may be lost.
+// fault is a fault under which the outcome of a request may stay unknown.
 type fault struct {
-	// before is done before the requests are sent, under way when every one has
-	// run, or when a deadline has passed without that; heal before the resend.
-	before, underWay, heal func(*deployment)
-	// runs says that the requests are expected to run under the fault.
+	// beforeSend is called before the requests are sent, inFlight after they are
+	// sent and, if runs is set, after all of them have run, and heal before the
+	// requests are resent.
+	beforeSend, inFlight, heal func(*deployment)
+	// runs means that the requests are expected to run under the fault.
 	runs bool
-	// deadline of the requests; 0 leaves it to the contract.
+	// deadline is the deadline of the requests; 0 leaves it to the configuration.
 	deadline time.Duration
-	// ownerKnows says that a living owner could tell what became of a request.
+	// ownerKnows means that a live owner still knows the outcomes.
 	ownerKnows bool
 }
 
-func (d *deployment) eachOwner(do func(*fleet.PeerFault)) {
+// forEachOwner applies a function to the peer faults of every owner.
+func (d *deployment) forEachOwner(do func(*fleet.PeerFault)) {
 	for _, vm := range d.owners() {
-		do(vm.Peers)
+		do(vm.PeerFault)
 	}
 }
 
-func release(d *deployment) { d.eachOwner((*fleet.PeerFault).Release) }
+func release(d *deployment) { d.forEachOwner((*fleet.PeerFault).Release) }
 
-func nothing(*deployment) {}
+func noop(*deployment) {}
 
 const (
-	// lossRequests are sent under each fault.
-	lossRequests = 10
-	// asMany stay unknown, or are said to have run, as were executed at least:
-	// the others waited for a slot, and their owner says so when it is asked in
-	// time.
-	asMany = -1
-	// anyNumber stays unknown: it depends on what was written before the break
-	// was noticed.
-	anyNumber = -2
+	// requestsPerFault is the number of requests sent under each fault.
+	requestsPerFault = 10
+	// atLeastExecuted expects that at least as many requests are reported as
+	// unknown or run as were executed. The others waited for a slot, and their
+	// owner reports them as not run when it is asked in time.
+	atLeastExecuted = -1
+	// anyCount expects any number of unknown outcomes: it depends on the data
+	// written before the broken connection is noticed.
+	anyCount = -2
 )
 
-// lose counts what stays unknown under a fault, and how much of that a question
-// to the owner could resolve at best. The figures stand in
-// docs/design/005-at-most-once.md.
-func (d *deployment) lose(f fault, wantUnknown int) {
-	from := d.notOwner()
-	ops := d.operations(from, lossRequests)
-	f.before(d)
-	told := make(chan map[string]int, 1)
+// checkUnknown sends requests under a fault, resends them after it, and checks how
+// many outcomes stay unknown. It reports how many of these a query to the owner
+// could resolve at best; docs/design/005-at-most-once.md has the figures.
+func (d *deployment) checkUnknown(f fault, wantUnknown int) {
+	from := d.nonOwner()
+	ops := d.operations(from, requestsPerFault)
+	f.beforeSend(d)
+	results := make(chan map[string]int, 1)
 	go func() {
 		defer GinkgoRecover()
-		told <- d.each(from, ops, f.deadline)
+		results <- d.sendAll(from, ops, f.deadline)
 	}()
 	if f.runs {
 		for _, op := range ops {
 			Eventually(func() int { return d.runs(op.body) }).WithTimeout(20 * time.Second).Should(Equal(1))
 		}
 	}
-	f.underWay(d)
-	first := <-told
+	f.inFlight(d)
+	first := <-results
 	f.heal(d)
-	again := d.each(from, ops, 0)
-	Expect(again).To(Equal(first))
+	resent := d.sendAll(from, ops, 0)
+	Expect(resent).To(Equal(first))
 	executed := 0
 	for _, op := range ops {
 		executed += d.runs(op.body)
 	}
-	unknown := again["outcome_unknown/unknown"]
+	unknown := resent["outcome_unknown/unknown"]
 	switch wantUnknown {
-	case anyNumber:
-	case asMany:
-		Expect(unknown+again["upstream_failed/ran"]).To(BeNumerically(">=", executed), fmt.Sprint(first))
+	case anyCount:
+	case atLeastExecuted:
+		Expect(unknown+resent["upstream_failed/ran"]).To(BeNumerically(">=", executed), fmt.Sprint(first))
 	default:
 		Expect(unknown).To(Equal(wantUnknown), fmt.Sprint(first))
 	}
@@ -84,84 +86,84 @@
 	if f.ownerKnows {
 		resolvable = unknown
 	}
-	AddReportEntry(fmt.Sprintf("%d requests: first %v, resent %v, executed %d, unknown %d, the owner could tell of %d",
-		lossRequests, first, again, executed, unknown, resolvable))
+	AddReportEntry(fmt.Sprintf("%d requests: first %v, resent %v, executed %d, unknown %d, resolvable by the owner %d",
+		requestsPerFault, first, resent, executed, unknown, resolvable))
 }
 
-var _ = Describe("the outcomes that stay unknown", func() {
+var _ = Describe("outcomes that stay unknown", func() {
 	Context("with faults of upstreams", Ordered, func() {
 		var d *deployment
 		BeforeAll(func() { d = startPayments() })
 
 		DescribeTable("under a fault", func(f fault, wantUnknown int) {
-			d.settled(0)
-			d.lose(f, wantUnknown)
+			d.waitHealthy(0)
+			d.checkUnknown(f, wantUnknown)
 		},
-			Entry("none", fault{before: nothing, underWay: nothing, heal: nothing, runs: true}, 0),
+			Entry("none", fault{beforeSend: noop, inFlight: noop, heal: noop, runs: true}, 0),
 			Entry("upstreams never answer", fault{
-				before:   func(d *deployment) { d.change(func(b *standin.Behaviour) { b.Hang = true }) },
-				underWay: nothing,
-				heal:     func(d *deployment) { d.change(func(b *standin.Behaviour) { b.Hang = false }) },
-				deadline: time.Second,
-			}, asMany),
+				beforeSend: func(d *deployment) { d.changeUpstreams(func(b *standin.Behaviour) { b.Hang = true }) },
+				inFlight:   noop,
+				heal:       func(d *deployment) { d.changeUpstreams(func(b *standin.Behaviour) { b.Hang = false }) },
+				deadline:   time.Second,
+			}, atLeastExecuted),
 			Entry("upstreams drain", fault{
-				before:   func(d *deployment) { d.change(func(b *standin.Behaviour) { b.Draining = true }) },
-				underWay: nothing,
-				heal:     func(d *deployment) { d.change(func(b *standin.Behaviour) { b.Draining = false }) },
+				beforeSend: func(d *deployment) { d.changeUpstreams(func(b *standin.Behaviour) { b.Draining = true }) },
+				inFlight:   noop,
+				heal:       func(d *deployment) { d.changeUpstreams(func(b *standin.Behaviour) { b.Draining = false }) },
 			}, 0),
-			Entry("upstreams refuse connections", fault{before: closeUpstreams, underWay: nothing, heal: nothing}, 0),
+			Entry("upstreams refuse connections", fault{beforeSend: closeUpstreams, inFlight: noop, heal: noop}, 0),
 		)
 	})
 
 	DescribeTable("under a fault between VMs", func(f fault, wantUnknown int) {
-		startPayments().lose(f, wantUnknown)
+		startPayments().checkUnknown(f, wantUnknown)
 	},
 		Entry("owners cut off just before", fault{
-			before: func(d *deployment) {
-				d.eachOwner((*fleet.PeerFault).Refuse)
-				d.eachOwner((*fleet.PeerFault).Cut)
+			beforeSend: func(d *deployment) {
+				d.forEachOwner((*fleet.PeerFault).Refuse)
+				d.forEachOwner((*fleet.PeerFault).Cut)
 			},
-			underWay:   nothing,
+			inFlight:   noop,
 			heal:       release,
 			ownerKnows: true,
-		}, anyNumber),
+		}, anyCount),
 		Entry("owners paused past the deadline", fault{
-			before:     func(d *deployment) { d.eachOwner((*fleet.PeerFault).HoldReads) },
-			underWay:   nothing,
+			beforeSend: func(d *deployment) { d.forEachOwner((*fleet.PeerFault).HoldReads) },
+			inFlight:   noop,
 			heal:       release,
-			deadline:   soon,
+			deadline:   shortDeadline,
 			ownerKnows: true,
-		}, lossRequests),
+		}, requestsPerFault),
 		Entry("streams cut before dispatch", fault{
-			before: func(d *deployment) { d.eachOwner((*fleet.PeerFault).HoldReads) },
-			underWay: func(d *deployment) {
-				held := func() (n int) {
-					d.eachOwner(func(p *fleet.PeerFault) { n += p.Held() })
+			beforeSend: func(d *deployment) { d.forEachOwner((*fleet.PeerFault).HoldReads) },
+			inFlight: func(d *deployment) {
+				blocked := func() (n int) {
+					d.forEachOwner(func(p *fleet.PeerFault) { n += p.Blocked() })
 					return n
 				}
-				Eventually(held).WithTimeout(10 * time.Second).Should(BeNumerically(">", 0))
+				Eventually(blocked).WithTimeout(10 * time.Second).Should(BeNumerically(">", 0))
 				time.Sleep(100 * time.Millisecond)
-				d.eachOwner((*fleet.PeerFault).Cut)
+				d.forEachOwner((*fleet.PeerFault).Cut)
 				release(d)
 			},
-			heal:       nothing,
+			heal:       noop,
 			ownerKnows: true,
-		}, anyNumber),
+		}, anyCount),
 		Entry("streams cut after dispatch", fault{
-			before:     func(d *deployment) { d.eachOwner((*fleet.PeerFault).HoldWrites) },
-			underWay:   func(d *deployment) { d.eachOwner((*fleet.PeerFault).Cut) },
+			beforeSend: func(d *deployment) { d.forEachOwner((*fleet.PeerFault).HoldWrites) },
+			inFlight:   func(d *deployment) { d.forEachOwner((*fleet.PeerFault).Cut) },
 			heal:       release,
 			runs:       true,
 			ownerKnows: true,
-		}, lossRequests),
+		}, requestsPerFault),
 		Entry("owners crash between dispatch and reply", fault{
-			before: func(d *deployment) { d.eachOwner((*fleet.PeerFault).HoldWrites) },
-			underWay: func(d *deployment) {
-				d.eachOwner((*fleet.PeerFault).Refuse)
-				d.eachOwner((*fleet.PeerFault).Cut)
+			beforeSend: func(d *deployment) { d.forEachOwner((*fleet.PeerFault).HoldWrites) },
+			inFlight: func(d *deployment) {
+				d.forEachOwner((*fleet.PeerFault).Refuse)
+				d.forEachOwner((*fleet.PeerFault).Cut)
 			},
-			heal: nothing,
+			heal: noop,
 			runs: true,
-		}, lossRequests),
+		}, requestsPerFault),
 	)
 })
