--- a/internal/congestion/congestion.go
+++ b/internal/congestion/congestion.go
@@ -1,11 +1,11 @@
-// Package congestion decides how many queries of one service may be scattered at
-// a time from this VM. It is pure: time is handed in.
+// Package congestion limits how many queries of one service a VM scatters concurrently. The
+// limit falls when upstreams refuse sub-requests and rises while it is in use. The package
+// reads no clock: callers pass the time.
 //
-// Without it, above the upstreams' capacity the owners refuse single
-// sub-requests, so that most queries lose some shard and the work done for their
-// others is wasted: the more is offered, the fewer whole answers come. One would
-// notice coverage_too_low rising and whole answers falling while the upstreams
-// are busy. Refusing whole queries first keeps the work for those that can end.
+// Without the limit, load above the upstreams' capacity makes the owners refuse single
+// sub-requests. Most queries then lose a shard and the work done for their other shards is
+// wasted, so complete answers become fewer as load grows: coverage_too_low rises while the
+// upstreams are busy. Refusing whole queries first saves the work for those that can complete.
 package congestion
 
 import (
@@ -15,73 +15,77 @@
 )
 
 const (
-	// spellGap is how long nothing is refused between two spells of congestion.
-	spellGap = time.Second
-	// leastRetry lets about the queries under way finish; mostRetry is most of the time for
-	// which callers of short queries wait.
-	leastRetry = 250 * time.Millisecond
-	mostRetry  = 2 * time.Second
+	// episodeGap is the time without a refusal that ends an episode of congestion.
+	episodeGap = time.Second
+	// minRetryAfter is about the time that the running queries need to finish. maxRetryAfter
+	// is most of the time that callers of short queries are willing to wait.
+	minRetryAfter = 250 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
 )
 
-// Policy is how the limit moves.
+// Policy holds the parameters by which a Limiter adjusts its limit.
 type Policy struct {
-	// Share of a query's shards that found no room, from which on the query
-	// counts as congested: a lost shard or a straggler alone stays below it. A query
-	// that ends late counts with this share once one shard found no room: upstreams
-	// queue before they refuse, and their queues alone make every answer late.
-	Share float64
-	// LeastShards of a query for it to tell anything.
-	LeastShards int
-	// Cut is the part of the limit taken off when every shard found no room;
-	// less of it when fewer did.
-	Cut float64
-	// Least is the lowest limit.
-	Least float64
-	// First is the limit before any congestion was seen. While none is, each query that
-	// ends with most of the limit in use raises it by one: it doubles in the time of a query.
-	First float64
+	// CongestedShare is the share of a query's shards refused for lack of capacity at which the
+	// query counts as congested. A single lost shard or straggler stays below it. A late query
+	// with at least one such shard counts with this share: upstreams queue before they refuse,
+	// and the queues alone make every answer late.
+	CongestedShare float64
+	// MinShards is the number of shards below which a query's outcome is ignored.
+	MinShards int
+	// MaxDecrease is the fraction by which the limit falls when all shards of a query were
+	// refused. With fewer refused shards it falls in proportion.
+	MaxDecrease float64
+	// MinLimit is the lowest limit.
+	MinLimit float64
+	// InitialLimit is the limit before any congestion. Until the first congestion, each query
+	// that ends while most of the limit is in use raises it by one, so that it doubles in the
+	// time of one query.
+	InitialLimit float64
 }
 
-// DefaultPolicy is the policy that the bench was run with.
+// DefaultPolicy returns the policy for a service whose slots are unknown.
 func DefaultPolicy() Policy {
-	return Policy{Share: 0.25, LeastShards: 4, Cut: 0.5, Least: 2, First: 64}
+	return Policy{CongestedShare: 0.25, MinShards: 4, MaxDecrease: 0.5, MinLimit: 2, InitialLimit: 64}
 }
 
 const (
-	// queriesPerSlot is how many queries under way keep a slot busy: their parts are on the
-	// way to an upstream and back most of the time.
+	// queriesPerSlot is the number of running queries that keep one slot busy. A query's
+	// sub-requests spend most of their time in transit to an upstream and back.
 	queriesPerSlot = 4
-	// leastFirst is the lowest limit before any congestion was seen: slots may be counted
-	// while most upstreams are not registered yet.
-	leastFirst = 16
+	// minInitialLimit is the lowest initial limit: the slots may be counted before most
+	// upstreams have registered.
+	minInitialLimit = 16
 )
 
-// WithSlots is the policy for queries of whose shards the one with the fewest slots has so
-// many, over all its upstreams; 0 when that is not known.
+// WithSlots returns the policy with an initial limit for the given number of slots: those of
+// all upstreams of the shard that has the fewest. The policy is unchanged if slots is 0
+// (unknown).
 func (p Policy) WithSlots(slots int) Policy {
 	if slots > 0 {
-		p.First = max(leastFirst, queriesPerSlot*float64(slots))
+		p.InitialLimit = max(minInitialLimit, queriesPerSlot*float64(slots))
 	}
 	return p
 }
 
-// Limiter is the limit of one service. It is not safe for concurrent use.
+// Limiter limits the concurrent queries of one service. It is not safe for concurrent use.
 type Limiter struct {
-	policy  Policy
-	limit   float64
-	running int
-	cutAt   time.Time
-	// refusedAt is when a query was last refused, refusingSince when the first of a spell was.
-	refusedAt, refusingSince time.Time
+	policy      Policy
+	limit       float64
+	running     int
+	decreasedAt time.Time
+	// lastRefusal is the time of the latest refused query, episodeStart that of the first
+	// refused query in the current episode of congestion.
+	lastRefusal, episodeStart time.Time
 }
 
-// New makes a limiter that has seen no congestion.
+// New returns a Limiter with the policy's initial limit.
 func New(p Policy) *Limiter {
-	return &Limiter{policy: p, limit: p.First}
+	return &Limiter{policy: p, limit: p.InitialLimit}
 }
 
-// reserve is the part of the limit that a priority leaves to those above it.
-func reserve(p pb.Priority) float64 {
+// reservedShare returns the fraction of the limit that queries of priority p leave free for
+// higher priorities.
+func reservedShare(p pb.Priority) float64 {
 	switch p {
 	case pb.Priority_HIGH:
 		return 0
@@ -92,81 +96,84 @@
 	}
 }
 
-// Start begins a query, or is false when there is no room for its priority.
+// Start admits a query of priority p. It returns false if the limit for p is reached. Each
+// admitted query must end with Done or Abandon.
 func (l *Limiter) Start(p pb.Priority) bool {
-	if float64(l.running) >= max(1, l.limit*(1-reserve(p))) {
+	if float64(l.running) >= max(1, l.limit*(1-reservedShare(p))) {
 		return false
 	}
 	l.running++
 	return true
 }
 
-// RetryAfter takes note of a refusal and is when its caller may come back: as long as queries
-// have been refused already, within bounds. Sooner most would be refused again.
+// RetryAfter records that a query was refused and returns how long its caller should wait
+// before a retry: the duration of the current episode of congestion, within fixed bounds. Most
+// retries before that would be refused again.
 func (l *Limiter) RetryAfter(now time.Time) time.Duration {
-	if now.Sub(l.refusedAt) > spellGap {
-		l.refusingSince = now
+	if now.Sub(l.lastRefusal) > episodeGap {
+		l.episodeStart = now
 	}
-	l.refusedAt = now
-	return min(max(leastRetry, now.Sub(l.refusingSince)), mostRetry)
+	l.lastRefusal = now
+	return min(max(minRetryAfter, now.Sub(l.episodeStart)), maxRetryAfter)
 }
 
-// Outcome is what a query showed.
+// Outcome describes how a query ended.
 type Outcome struct {
 	Shards int
-	// NoRoom is how many of the shards were refused for want of room at least once.
+	// NoRoom is the number of shards that were refused at least once for lack of capacity.
 	NoRoom int
-	// Late says that the query ended after its objective.
+	// Late reports whether the query ended after its objective.
 	Late bool
 }
 
-// crowded is the share of the shards that counts as having found no room.
-func (o *Outcome) crowded(p *Policy) float64 {
+// congestedShare returns the share of shards that counts as refused for lack of capacity.
+func (o *Outcome) congestedShare(p *Policy) float64 {
 	share := float64(o.NoRoom) / float64(o.Shards)
 	if o.Late && o.NoRoom > 0 {
-		return max(share, p.Share)
+		return max(share, p.CongestedShare)
 	}
 	return share
 }
 
-// Done ends a query that was started at started.
+// Done ends a query that was admitted at time started, and adjusts the limit by its outcome.
 func (l *Limiter) Done(now, started time.Time, o Outcome) {
 	running := l.running
 	l.running--
-	if o.Shards < l.policy.LeastShards {
+	if o.Shards < l.policy.MinShards {
 		return
 	}
-	crowded := o.crowded(&l.policy)
+	share := o.congestedShare(&l.policy)
 	switch {
-	case crowded >= l.policy.Share:
-		l.cut(now, started, running, crowded)
-	case float64(running) >= l.limit*(1-reserve(pb.Priority_LOW)):
-		l.raise()
+	case share >= l.policy.CongestedShare:
+		l.decrease(now, started, running, share)
+	case float64(running) >= l.limit*(1-reservedShare(pb.Priority_LOW)):
+		l.increase()
 	}
 }
 
-// raise lets a little more in: one query for each that ends before the first congestion, one
-// for each round of them after it.
-func (l *Limiter) raise() {
-	if l.cutAt.IsZero() {
+// increase raises the limit by one before the first congestion. After it, the limit grows by
+// one per round of queries.
+func (l *Limiter) increase() {
+	if l.decreasedAt.IsZero() {
 		l.limit++
 		return
 	}
 	l.limit += 1 / l.limit
 }
 
-// cut lowers the limit once for all queries that ran side by side: those that
-// began before the last cut tell nothing of its effect.
-func (l *Limiter) cut(now, started time.Time, running int, share float64) {
-	if started.Before(l.cutAt) {
+// decrease lowers the limit in proportion to share, the congested share of a query's shards.
+// It ignores queries started before the last decrease: they ran under the higher limit, so a
+// set of concurrent queries lowers the limit once.
+func (l *Limiter) decrease(now, started time.Time, running int, share float64) {
+	if started.Before(l.decreasedAt) {
 		return
 	}
-	l.cutAt = now
-	l.limit = max(l.policy.Least, min(l.limit, float64(running))*(1-l.policy.Cut*share))
+	l.decreasedAt = now
+	l.limit = max(l.policy.MinLimit, min(l.limit, float64(running))*(1-l.policy.MaxDecrease*share))
 }
 
-// Abandon ends a query that told nothing.
+// Abandon ends a query without adjusting the limit.
 func (l *Limiter) Abandon() { l.running-- }
 
-// Limit is how many may run.
+// Limit returns how many queries of the highest priority may run concurrently.
 func (l *Limiter) Limit() float64 { return l.limit }
--- a/internal/congestion/congestion_test.go
+++ b/internal/congestion/congestion_test.go
@@ -13,12 +13,12 @@
 var epoch = time.Unix(1_700_000_000, 0)
 
 const (
-	shards    = 10
-	congested = 5
+	shards        = 10
+	refusedShards = 5
 )
 
-// started is a limiter with n queries running.
-func started(n int) *Limiter {
+// newLimiterRunning returns a Limiter with n running queries.
+func newLimiterRunning(n int) *Limiter {
 	l := New(DefaultPolicy())
 	for range n {
 		l.Start(pb.Priority_HIGH)
@@ -26,56 +26,54 @@
 	return l
 }
 
-// Symptom: above capacity fewer whole answers come the more is offered.
-// Sequence: owners refuse sub-requests of most queries; each loses some shard.
-// Cause: nothing bounds the queries that are scattered at a time.
-func TestCongestionBoundsTheQueriesThatRun(t *testing.T) {
+// Guards against unbounded concurrent queries above the upstreams' capacity: owners then
+// refuse sub-requests of most queries, each query loses a shard, and complete answers become
+// fewer as load grows.
+func TestCongestionLowersLimit(t *testing.T) {
 	g := NewWithT(t)
-	l := started(20)
-	l.Done(epoch.Add(time.Second), epoch, Outcome{Shards: shards, NoRoom: congested})
+	l := newLimiterRunning(20)
+	l.Done(epoch.Add(time.Second), epoch, Outcome{Shards: shards, NoRoom: refusedShards})
 	g.Expect(l.Limit()).To(BeNumerically("~", 15))
 	g.Expect(l.Start(pb.Priority_HIGH)).To(BeFalse())
 }
 
-// Symptom: the limit falls to its least at one moment of congestion.
-// Sequence: twenty queries run side by side; each one reports the same queue.
-// Cause: a cut for each report and not for each round.
-func TestQueriesThatRanSideBySideCutOnce(t *testing.T) {
+// Guards against a limit that falls to its minimum on a single congestion: twenty concurrent
+// queries report the same queue, and each report lowers the limit.
+func TestConcurrentQueriesLowerLimitOnce(t *testing.T) {
 	g := NewWithT(t)
-	l := started(20)
+	l := newLimiterRunning(20)
 	for i := range 20 {
-		l.Done(epoch.Add(time.Second+time.Duration(i)), epoch, Outcome{Shards: shards, NoRoom: congested})
+		l.Done(epoch.Add(time.Second+time.Duration(i)), epoch, Outcome{Shards: shards, NoRoom: refusedShards})
 	}
 	g.Expect(l.Limit()).To(BeNumerically("~", 15))
 }
 
-// Symptom: a lost shard refuses callers though the others have room.
-// Sequence: all replicas of one shard shed; each query misses that shard.
-// Cause: a missing shard taken for a want of room everywhere.
-func TestOneLostShardIsNoCongestion(t *testing.T) {
+// Guards against refusing callers while all shards but one have capacity: all replicas of one
+// shard shed load, and each query misses that shard.
+func TestOneLostShardIsNotCongestion(t *testing.T) {
 	g := NewWithT(t)
-	l := started(20)
+	l := newLimiterRunning(20)
 	l.Done(epoch.Add(time.Second), epoch, Outcome{Shards: shards, NoRoom: 1})
 	l.Done(epoch.Add(time.Second), epoch, Outcome{Shards: 1, NoRoom: 1})
-	g.Expect(l.Limit()).To(Equal(DefaultPolicy().First))
+	g.Expect(l.Limit()).To(Equal(DefaultPolicy().InitialLimit))
 }
 
-// Guards against a VM that takes in all that comes at once before the first congestion shows.
-func TestBeforeAnyCongestionThereIsALimit(t *testing.T) {
+// Guards against a VM that admits every query of a burst before the first congestion.
+func TestInitialLimit(t *testing.T) {
 	g := NewWithT(t)
 	p := DefaultPolicy().WithSlots(6)
-	l, began := New(p), 0
+	l, admitted := New(p), 0
 	for l.Start(pb.Priority_HIGH) {
-		began++
+		admitted++
 	}
-	g.Expect(began).To(Equal(24))
+	g.Expect(admitted).To(Equal(24))
 	g.Expect(New(DefaultPolicy().WithSlots(1)).Limit()).To(Equal(16.0))
-	g.Expect(New(DefaultPolicy().WithSlots(0)).Limit()).To(Equal(DefaultPolicy().First))
+	g.Expect(New(DefaultPolicy().WithSlots(0)).Limit()).To(Equal(DefaultPolicy().InitialLimit))
 }
 
-// Guards against a limit that holds back a load which the upstreams carry: while no query has
-// found a full upstream, it doubles in the time of one query.
-func TestBeforeAnyCongestionTheLimitDoublesWhileItIsUsed(t *testing.T) {
+// Guards against an initial limit that refuses load within the upstreams' capacity: until a
+// query finds an upstream full, the limit doubles in the time of one query.
+func TestLimitDoublesBeforeFirstCongestion(t *testing.T) {
 	g := NewWithT(t)
 	l := New(DefaultPolicy().WithSlots(6))
 	running := 0
@@ -95,10 +93,10 @@
 	}
 }
 
-func TestTheLimitGrowsWhileItIsUsed(t *testing.T) {
+func TestLimitGrowsWhileInUse(t *testing.T) {
 	g := NewWithT(t)
-	l := started(10)
-	l.Done(epoch.Add(time.Second), epoch, Outcome{Shards: shards, NoRoom: congested})
+	l := newLimiterRunning(10)
+	l.Done(epoch.Add(time.Second), epoch, Outcome{Shards: shards, NoRoom: refusedShards})
 	low := l.Limit()
 	for range 100 {
 		l.Start(pb.Priority_HIGH)
@@ -107,10 +105,10 @@
 	g.Expect(l.Limit()).To(BeNumerically(">", low+2))
 }
 
-// Answers the pattern of a burst beyond capacity that lasts for seconds. Guards against
-// callers who are told to come back within it again and again, and against a long wait at the
-// first refusal or after a spell that is over.
-func TestTheWaitIsAsLongAsTheCongestionHasLasted(t *testing.T) {
+// In a burst above capacity that lasts for seconds, callers must not retry over and over
+// within the burst. The first refusal of an episode, and one after an earlier episode has
+// ended, must not cause a long wait.
+func TestRetryAfterGrowsWithEpisode(t *testing.T) {
 	g := NewWithT(t)
 	l := New(DefaultPolicy())
 	wait := func(at time.Duration) time.Duration { return l.RetryAfter(epoch.Add(at)) }
@@ -121,10 +119,10 @@
 	g.Expect(wait(3800 * time.Millisecond)).To(Equal(250 * time.Millisecond))
 }
 
-func TestLowPrioritiesFindNoRoomFirst(t *testing.T) {
+func TestLowPrioritiesAreRefusedFirst(t *testing.T) {
 	g := NewWithT(t)
-	l := started(20)
-	l.Done(epoch.Add(time.Second), epoch, Outcome{Shards: shards, NoRoom: congested})
+	l := newLimiterRunning(20)
+	l.Done(epoch.Add(time.Second), epoch, Outcome{Shards: shards, NoRoom: refusedShards})
 	for range 7 {
 		l.Abandon()
 	}
@@ -132,7 +130,7 @@
 	g.Expect(l.Start(pb.Priority_NORMAL)).To(BeTrue())
 }
 
-func TestTheLimitStaysInItsBoundsAndLetsSomeoneRun(t *testing.T) {
+func TestLimitKeepsMinimumAndAdmitsWhenIdle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, now, running := New(DefaultPolicy()), epoch, 0
 		t.Repeat(map[string]func(*rapid.T){
@@ -142,7 +140,7 @@
 				if l.Start(p) {
 					running++
 				} else if idle {
-					t.Fatal("nothing runs and nothing may start")
+					t.Fatal("query refused while none is running")
 				}
 			},
 			"done": func(t *rapid.T) {
@@ -151,11 +149,11 @@
 				}
 				running--
 				now = now.Add(time.Duration(rapid.IntRange(0, 1000).Draw(t, "ms")) * time.Millisecond)
-				l.Done(now, now.Add(-time.Second), Outcome{Shards: shards, NoRoom: rapid.IntRange(0, shards).Draw(t, "no room"), Late: rapid.Bool().Draw(t, "late")})
+				l.Done(now, now.Add(-time.Second), Outcome{Shards: shards, NoRoom: rapid.IntRange(0, shards).Draw(t, "refused shards"), Late: rapid.Bool().Draw(t, "late")})
 			},
 			"": func(t *rapid.T) {
-				if l.Limit() < DefaultPolicy().Least || l.running != running {
-					t.Fatalf("limit %v, running %d, counted %d", l.Limit(), running, l.running)
+				if l.Limit() < DefaultPolicy().MinLimit || l.running != running {
+					t.Fatalf("limit %v, running %d, limiter counts %d", l.Limit(), running, l.running)
 				}
 			},
 		})
