--- a/internal/poison/broadcast.go
+++ b/internal/poison/broadcast.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// tellGap is the least time between two words to all peers. The first one goes out at
+	// minBroadcastGap is the least time between two words to all peers. The first one goes out at
 	// once; in a storm of crashes one to 300 VMs is at most some megabytes a second.
-	tellGap = 100 * time.Millisecond
-	// repeatEvery is how often peers are told again what they may have missed, repeatPeers
+	minBroadcastGap = 100 * time.Millisecond
+	// repeatInterval is how often peers are told again what they may have missed, repeatPeers
 	// how many: over the fleet each VM hears it about as often.
-	repeatEvery = time.Second
-	repeatPeers = 2
+	repeatInterval = time.Second
+	repeatFanout = 2
 )
 
 // Broadcaster sends entries to so many members, or to membership.All.
@@ -27,25 +27,25 @@
 // Run tells peers what is known until ctx ends: all of them at once what is new, as the
 // caller may come to any VM next, and some of them each second what they may have missed.
 func (g *Guard) Run(ctx context.Context, to Broadcaster) error {
-	t := time.NewTicker(repeatEvery)
+	t := time.NewTicker(repeatInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-g.Changed():
-			g.tellNews(ctx, to)
+		case <-g.Pending():
+			g.broadcastPending(ctx, to)
 		case now := <-t.C:
 			g.Expire(now)
 			g.signal()
 			if entries := g.Repeat(now); len(entries) > 0 {
-				to.Broadcast(quarantine.Encode(entries), repeatPeers)
+				to.Broadcast(quarantine.Encode(entries), repeatFanout)
 			}
 		}
 	}
 }
 
-func (g *Guard) tellNews(ctx context.Context, to Broadcaster) {
+func (g *Guard) broadcastPending(ctx context.Context, to Broadcaster) {
 	for more := true; more && ctx.Err() == nil; {
 		var entries []quarantine.Entry
 		entries, more = g.News(time.Now())
@@ -53,7 +53,7 @@
 			return
 		}
 		to.Broadcast(quarantine.Encode(entries), membership.All)
-		time.Sleep(tellGap)
+		time.Sleep(minBroadcastGap)
 	}
 }
 
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -22,8 +22,8 @@
 type Metrics struct {
 	crashes prometheus.Counter
 	trials  prometheus.Counter
-	turns   *prometheus.CounterVec
-	dropped prometheus.Counter
+	transitions   *prometheus.CounterVec
+	droppedEntries prometheus.Counter
 }
 
 // NewMetrics registers a guard's counters.
@@ -35,24 +35,24 @@
 		trials: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "sycamorekeel_poison_trials_total", Help: "Suspects that were tried at one upstream alone.",
 		}),
-		turns: prometheus.NewCounterVec(prometheus.CounterOpts{
+		transitions: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "sycamorekeel_poison_standing_changes_total", Help: "Requests that became suspect, blocked or free, as seen here.",
 		}, []string{"standing"}),
-		dropped: prometheus.NewCounter(prometheus.CounterOpts{
+		droppedEntries: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "sycamorekeel_poison_entries_dropped_total", Help: "Entries of peers that made no sense.",
 		}),
 	}
-	reg.MustRegister(m.crashes, m.trials, m.turns, m.dropped)
+	reg.MustRegister(m.crashes, m.trials, m.transitions, m.droppedEntries)
 	return m
 }
 
 // Guard keeps requests that crash upstreams from them. It is safe for concurrent use.
 type Guard struct {
 	logs logring.Loggers
-	met  *Metrics
-	news chan struct{}
-	// held says that the table holds something: it is looked at for each request.
-	held atomic.Bool
+	metrics  *Metrics
+	pending chan struct{}
+	// nonEmpty says that the table holds something: it is looked at for each request.
+	nonEmpty atomic.Bool
 
 	mu    sync.Mutex
 	table *quarantine.Table
@@ -60,7 +60,7 @@
 
 // New is a guard that knows of no crash.
 func New(logs logring.Loggers, met *Metrics) *Guard {
-	return &Guard{logs: logs, met: met, news: make(chan struct{}, 1), table: quarantine.New()}
+	return &Guard{logs: logs, metrics: met, pending: make(chan struct{}, 1), table: quarantine.New()}
 }
 
 // Subject is the request that a word to a guard is about.
@@ -71,14 +71,14 @@
 }
 
 // Empty tells whether no request is held: what is asked need not be worked out then.
-func (g *Guard) Empty() bool { return !g.held.Load() }
+func (g *Guard) Empty() bool { return !g.nonEmpty.Load() }
 
-// change makes a change of the table.
-func (g *Guard) change(do func(*quarantine.Table)) {
+// update makes a change of the table.
+func (g *Guard) update(do func(*quarantine.Table)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	do(g.table)
-	g.held.Store(!g.table.Empty())
+	g.nonEmpty.Store(!g.table.Empty())
 }
 
 // Blocked tells whether a request is sent to no upstream now.
@@ -109,7 +109,7 @@
 	}
 	a.Waited = waited
 	if a.Standing == quarantine.Suspect && !a.Held {
-		g.met.trials.Inc()
+		g.metrics.trials.Inc()
 		g.signal()
 		g.logs.Failures.Info("poison: suspect is tried", append([]zap.Field{zap.Stringer("content", s.Content)}, s.Fields...)...)
 	}
@@ -125,17 +125,17 @@
 
 // Crashed takes in an upstream that ended under a request.
 func (g *Guard) Crashed(now time.Time, s Subject, c quarantine.Crash) {
-	g.met.crashes.Inc()
+	g.metrics.crashes.Inc()
 	var turn quarantine.Transition
-	g.change(func(t *quarantine.Table) { turn = t.Crashed(now, s.Content, c) })
-	g.tell(turn, s.Fields...)
+	g.update(func(t *quarantine.Table) { turn = t.Crashed(now, s.Content, c) })
+	g.report(turn, s.Fields...)
 }
 
 // Survived takes in that an upstream has run a request and lives.
 func (g *Guard) Survived(now time.Time, s Subject) {
 	var turn quarantine.Transition
-	g.change(func(t *quarantine.Table) { turn = t.Survived(now, s.Content) })
-	g.tell(turn, s.Fields...)
+	g.update(func(t *quarantine.Table) { turn = t.Survived(now, s.Content) })
+	g.report(turn, s.Fields...)
 }
 
 // Unanswered notes that an attempt has ended with no upstream that survived it: peers are
@@ -149,10 +149,10 @@
 
 // Learn takes in what a peer tells; dropped is how many of its entries made no sense.
 func (g *Guard) Learn(now time.Time, peer string, entries []quarantine.Entry, dropped int) {
-	g.met.dropped.Add(float64(dropped))
+	g.metrics.droppedEntries.Add(float64(dropped))
 	for _, e := range entries {
 		var turn quarantine.Transition
-		g.change(func(t *quarantine.Table) { turn = t.Merge(now, e) })
+		g.update(func(t *quarantine.Table) { turn = t.Merge(now, e) })
 		g.signal()
 		g.count(turn)
 		// The VM that saw the upstreams end has a line for each change; one of each VM of a
@@ -163,38 +163,38 @@
 	}
 }
 
-// Changed gives a signal when peers are to be told of something.
-func (g *Guard) Changed() <-chan struct{} { return g.news }
+// Pending gives a signal when peers are to be told of something.
+func (g *Guard) Pending() <-chan struct{} { return g.pending }
 
 // News is what all peers are to be told now, and whether there is more.
 func (g *Guard) News(now time.Time) (entries []quarantine.Entry, more bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	entries = g.table.News(now, quarantine.MaxTold)
-	return entries, g.table.HasNews()
+	entries = g.table.TakePending(now, quarantine.MaxDatagramEntries)
+	return entries, g.table.HasPending()
 }
 
 // Repeat is what some peers are to be told again.
 func (g *Guard) Repeat(now time.Time) []quarantine.Entry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.table.Repeat(now, quarantine.MaxTold)
+	return g.table.NextRepeats(now, quarantine.MaxDatagramEntries)
 }
 
 // All is what a VM that starts is to be told, so many entries at most.
 func (g *Guard) All(now time.Time, most int) []quarantine.Entry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.table.All(now, most)
+	return g.table.Snapshot(now, most)
 }
 
 // Expire forgets what is too old. It is to be called now and then.
 func (g *Guard) Expire(now time.Time) {
-	g.change(func(t *quarantine.Table) { t.Expire(now) })
+	g.update(func(t *quarantine.Table) { t.Expire(now) })
 }
 
-// tell logs and counts a change of standing, and gives a signal when peers are to hear of it.
-func (g *Guard) tell(t quarantine.Transition, more ...zap.Field) {
+// report logs and counts a change of standing, and gives a signal when peers are to hear of it.
+func (g *Guard) report(t quarantine.Transition, more ...zap.Field) {
 	g.signal()
 	g.count(t)
 	if t.Was != t.Is {
@@ -204,7 +204,7 @@
 
 func (g *Guard) count(t quarantine.Transition) {
 	if t.Was != t.Is {
-		g.met.turns.WithLabelValues(t.Is.String()).Inc()
+		g.metrics.transitions.WithLabelValues(t.Is.String()).Inc()
 	}
 }
 
@@ -220,22 +220,22 @@
 
 func (g *Guard) signal() {
 	g.mu.Lock()
-	news := g.table.HasNews()
+	news := g.table.HasPending()
 	g.mu.Unlock()
 	if !news {
 		return
 	}
 	select {
-	case g.news <- struct{}{}:
+	case g.pending <- struct{}{}:
 	default:
 	}
 }
 
-var requests = prometheus.NewDesc("sycamorekeel_poison_requests",
+var requestsDesc = prometheus.NewDesc("sycamorekeel_poison_requests",
 	"Requests under which upstreams ended, by how they are treated.", []string{"standing"}, nil)
 
 // Describe implements prometheus.Collector.
-func (g *Guard) Describe(out chan<- *prometheus.Desc) { out <- requests }
+func (g *Guard) Describe(out chan<- *prometheus.Desc) { out <- requestsDesc }
 
 // Collect implements prometheus.Collector: the standings are counted when they are asked for.
 func (g *Guard) Collect(out chan<- prometheus.Metric) {
@@ -243,6 +243,6 @@
 	count := g.table.Count(time.Now())
 	g.mu.Unlock()
 	for standing, n := range count {
-		out <- prometheus.MustNewConstMetric(requests, prometheus.GaugeValue, float64(n), standing.String())
+		out <- prometheus.MustNewConstMetric(requestsDesc, prometheus.GaugeValue, float64(n), standing.String())
 	}
 }
--- a/internal/poison/guard_test.go
+++ b/internal/poison/guard_test.go
@@ -15,8 +15,8 @@
 	"sycamorekeel.example/sycamorekeel/internal/quarantine"
 )
 
-// patience bounds what a test waits for; no test passes by it running out.
-const patience = 10 * time.Second
+// testTimeout bounds what a test waits for; no test passes by it running out.
+const testTimeout = 10 * time.Second
 
 var subject = Subject{Content: fingerprint.Of("GET", "h", "/", nil)}
 
@@ -29,24 +29,24 @@
 	}
 }
 
-// told is what a guard tells, and to how many.
-type told struct {
+// broadcast is what a guard tells, and to how many.
+type broadcast struct {
 	entries []*pb.QuarantineEntry
-	most    int
+	maxPeers    int
 }
 
-type teller chan told
+type recordingBroadcaster chan broadcast
 
-func (t teller) Broadcast(entries []*pb.QuarantineEntry, most int) { t <- told{entries, most} }
+func (t recordingBroadcaster) Broadcast(entries []*pb.QuarantineEntry, most int) { t <- broadcast{entries, most} }
 
-func (t teller) next(test *testing.T) told {
+func (t recordingBroadcaster) next(test *testing.T) broadcast {
 	test.Helper()
 	select {
 	case w := <-t:
 		return w
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		test.Fatal("nothing is told")
-		return told{}
+		return broadcast{}
 	}
 }
 
@@ -55,19 +55,19 @@
 func TestPeersAreTold(t *testing.T) {
 	a, b := newGuard(), newGuard()
 	ctx, cancel := context.WithCancel(context.Background())
-	words := make(teller, 16)
+	words := make(recordingBroadcaster, 16)
 	done := make(chan error, 1)
 	go func() { done <- a.Run(ctx, words) }()
 	a.crash(time.Now(), 3)
 	first := words.next(t)
-	if first.most != membership.All || len(first.entries) != 1 {
+	if first.maxPeers != membership.All || len(first.entries) != 1 {
 		t.Errorf("told first: %+v", first)
 	}
 	b.Heard("a", first.entries)
 	if got := b.Step(time.Now(), subject.Content, &quarantine.Waiting{}); got.Standing != quarantine.Suspect {
 		t.Errorf("a peer that heard holds it for %s", got.Standing)
 	}
-	if again := words.next(t); again.most != repeatPeers {
+	if again := words.next(t); again.maxPeers != repeatFanout {
 		t.Errorf("told again: %+v", again)
 	}
 	cancel()
@@ -75,7 +75,7 @@
 		t.Error(err)
 	}
 	b.Heard("a", []*pb.QuarantineEntry{{}})
-	if n := testutil.ToFloat64(b.met.dropped); n != 1 {
+	if n := testutil.ToFloat64(b.metrics.droppedEntries); n != 1 {
 		t.Errorf("%v entries dropped", n)
 	}
 }
@@ -98,7 +98,7 @@
 		if a.Standing != quarantine.Suspect || a.Held {
 			t.Errorf("%+v", a)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("it waits for itself")
 	}
 }
@@ -139,7 +139,7 @@
 		if a.Standing != quarantine.Free {
 			t.Errorf("after an answer: %+v", a)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("it waits on")
 	}
 }
--- a/internal/quarantine/admit.go
+++ b/internal/quarantine/admit.go
@@ -7,52 +7,56 @@
 )
 
 const (
-	// turnWithin is the span over which VMs to which a suspect comes at the same moment draw
-	// their turns to try it: fifty times the way of the word that a trial has begun, so that
-	// hardly two begin unaware of each other. With 0.3 s, two of 300 runs in which a request
-	// came twelve times within a tenth of a second to nine VMs had more than three trials;
-	// with 0.8 s none of 900, a tenth of the words lost in a third of them.
-	turnWithin = 800 * time.Millisecond
-	// patience is how long a suspect waits for a trial of its own or for what comes of
-	// another one: a trial and a turn after it.
-	patience = trialFor + turnWithin + 200*time.Millisecond
-	// askAgain is how often a suspect that waits is looked at: a fraction of a trial.
-	askAgain = 10 * time.Millisecond
+	// trialSpread is the range of the random delays before a trial. VMs that receive a suspect
+	// at the same time start their trials at different times within it. It is fifty times the
+	// delay of a trial's announcement, so that two VMs rarely start a trial unaware of each
+	// other. With a request sent to nine VMs twelve times within 0.1 s, 0.3 s gave more than
+	// three trials in 2 of 300 runs, and 0.8 s in none of 900 runs, a third of which lost a
+	// tenth of the messages.
+	trialSpread = 800 * time.Millisecond
+	// maxTrialWait is how long an attempt of a suspect waits for its own trial or the result of
+	// another: the duration of one trial and of a random delay after it.
+	maxTrialWait = trialTimeout + trialSpread + 200*time.Millisecond
+	// pollInterval is how often a waiting attempt checks the table: a fraction of a trial.
+	pollInterval = 10 * time.Millisecond
 )
 
-// Waiting is one attempt of a suspect that waits until it may be tried.
+// Waiting is the state of an attempt that waits for its trial.
 type Waiting struct {
-	// draw places its turn within turnWithin.
-	draw        float64
-	turn, until time.Time
+	// draw is the random delay as a fraction of trialSpread.
+	draw float64
+	// startAt is when the trial may start, giveUpAt when the attempt stops waiting.
+	startAt, giveUpAt time.Time
 }
 
-// Wait is an attempt that comes now; draw, from 0 to 1, gives its turn.
+// Wait returns the state of an attempt that arrives now. draw, a random number from 0 to 1,
+// determines the delay before its trial.
 func Wait(now time.Time, draw float64) Waiting {
-	w := Waiting{draw: draw, until: now.Add(patience)}
-	w.setTurn(now)
+	w := Waiting{draw: draw, giveUpAt: now.Add(maxTrialWait)}
+	w.setStart(now)
 	return w
 }
 
-func (w *Waiting) setTurn(from time.Time) {
-	w.turn = from.Add(time.Duration(w.draw * float64(turnWithin)))
+func (w *Waiting) setStart(from time.Time) {
+	w.startAt = from.Add(time.Duration(w.draw * float64(trialSpread)))
 }
 
-// Admission is how an attempt may go on.
+// Admission is the decision on an attempt.
 type Admission struct {
 	Standing Standing
-	// Again is when to ask once more; zero once it is decided.
+	// Again is when to call Admit again; zero if the decision is final.
 	Again time.Time
-	// Held says that a suspect could not be tried in time, as others are trying it.
+	// Held reports that the attempt of a suspect is refused: other trials lasted until the end
+	// of its wait.
 	Held bool
-	// Waited says that the attempt has waited for its turn.
+	// Waited reports whether the attempt waited before the final decision.
 	Waited bool
-	// Until is when a block ends.
+	// Until is the end of the request's last block; zero if it was never blocked.
 	Until time.Time
 }
 
-// Admit tells whether an attempt may be run: as any other, alone as a trial, which begins
-// with it, or not at all.
+// Admit decides whether an attempt runs without restriction, runs as a trial, waits or is
+// refused. A trial starts with this call.
 func (t *Table) Admit(now time.Time, content fingerprint.Fingerprint, w *Waiting) Admission {
 	standing, until := t.Standing(now, content)
 	a := Admission{Standing: standing, Until: until}
@@ -60,16 +64,17 @@
 		return a
 	}
 	r := t.records[content]
-	if now.Before(r.tryingUntil) {
-		// Should nothing come of that trial, those who wait do not all begin at its end.
-		w.setTurn(r.tryingUntil)
+	if now.Before(r.trialUntil) {
+		// If the trial times out without a result, the waiting attempts must not all start at
+		// that moment.
+		w.setStart(r.trialUntil)
 	}
 	switch {
-	case !now.Before(w.turn):
-		r.tryingUntil = now.Add(trialFor)
-		r.trial, r.news = true, true
-	case now.Before(w.until):
-		a.Again = now.Add(askAgain)
+	case !now.Before(w.startAt):
+		r.trialUntil = now.Add(trialTimeout)
+		r.announceTrial, r.pending = true, true
+	case now.Before(w.giveUpAt):
+		a.Again = now.Add(pollInterval)
 	default:
 		a.Held = true
 	}
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -8,9 +8,8 @@
 	"sycamorekeel.example/sycamorekeel/internal/fingerprint"
 )
 
-// What each request costs while a VM holds as many others as it may: the hash of what is
-// asked, and the look at the table.
-func BenchmarkStandingInAFullTable(b *testing.B) {
+// Measures the cost per request while the table is full: the fingerprint and the look-up.
+func BenchmarkStandingInFullTable(b *testing.B) {
 	t := New()
 	for i := range maxRecords {
 		for u := range uint32(4) {
@@ -28,8 +27,8 @@
 	}
 }
 
-// What a crash costs once the table is full: the least important record is looked for.
-func BenchmarkCrashInAFullTable(b *testing.B) {
+// Measures the cost of a crash while the table is full: the search for the record to evict.
+func BenchmarkCrashInFullTable(b *testing.B) {
 	t := New()
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
--- a/internal/quarantine/isolation.go
+++ b/internal/quarantine/isolation.go
@@ -1,58 +1,58 @@
 package quarantine
 
-// maxRefusedAlone is how many upstreams may refuse a send that is made alone, in a trial,
-// until the attempt is given up: each was sent a request that may crash it.
-const maxRefusedAlone = 2
+// maxIsolatedRefusals is how many upstreams may refuse an isolated send of a trial before the
+// attempt ends. Each of them was sent a request that may crash it.
+const maxIsolatedRefusals = 2
 
-// Isolation is what one attempt notes of the upstreams that end under it, so as not to end all
-// that it can reach.
+// Isolation limits how many upstreams one attempt can crash.
 //
-// A request that crashes each upstream that runs it would else be sent to a second copy of
-// each shard as soon as the first has ended: a query of ten shards ends twenty upstreams
-// before its caller has its failure. An isolated attempt has one send open at a time, until an
-// upstream has survived it; when one more has ended it is given up. For a query at no fault,
-// whose upstreams ended for another reason, the first answer of any part ends the isolation.
+// Without it, a poison request is sent to a second replica of each shard as soon as the first
+// has ended: a query of ten shards ends twenty upstreams before its caller gets an error. An
+// attempt is isolated after suspectCrashes crashes, and a trial from its start. It then has one
+// open send at a time until an upstream survives it, and ends after one more crash. If an
+// innocent query's upstreams ended for another reason, its first answered part ends the
+// isolation.
 type Isolation struct {
-	// Trial says that upstreams have ended under the same request before: the attempt is
-	// isolated from its start.
+	// Trial is set if earlier attempts have made the request a suspect: the attempt is isolated
+	// from its start.
 	Trial bool
 
 	crashed  int
 	survived bool
-	// lost says that an upstream ended under a send that was made alone; refused is how
-	// many refused one in a trial.
-	lost    bool
-	refused int
+	// isolatedLoss is set once an isolated send was lost, by a crash or, in a trial, by another
+	// failure. isolatedRefusals counts the refused isolated sends of a trial.
+	isolatedLoss     bool
+	isolatedRefusals int
 }
 
-// Active tells whether sends are made one at a time.
+// Active reports whether the attempt is isolated: only one send may be open at a time.
 func (i *Isolation) Active() bool {
 	return !i.survived && (i.Trial || i.crashed >= suspectCrashes)
 }
 
-// Exhausted tells whether no more sends are to be made.
+// Exhausted reports whether the attempt must make no more sends.
 func (i *Isolation) Exhausted() bool {
-	return !i.survived && (i.lost || i.refused >= maxRefusedAlone)
+	return !i.survived && (i.isolatedLoss || i.isolatedRefusals >= maxIsolatedRefusals)
 }
 
-// Survived notes that an upstream has run the request and lives.
+// Survived records that an upstream has run the request without a crash.
 func (i *Isolation) Survived() { i.survived = true }
 
-// Crashed notes an upstream that ended, or seems to have; alone says that the attempt was
-// isolated when it sent.
+// Crashed records an upstream that has ended, or seems to have. alone reports whether the
+// attempt was isolated when it sent the request.
 func (i *Isolation) Crashed(alone bool) {
 	i.crashed++
-	i.lost = i.lost || alone
+	i.isolatedLoss = i.isolatedLoss || alone
 }
 
-// Refused notes an upstream that would not run the request.
+// Refused records an upstream that refused the request.
 func (i *Isolation) Refused(alone bool) {
 	if alone && i.Trial {
-		i.refused++
+		i.isolatedRefusals++
 	}
 }
 
-// Unanswered notes any other end of a send that had reached an upstream.
+// Unanswered records any other failure of a send that had reached an upstream.
 func (i *Isolation) Unanswered(alone bool) {
-	i.lost = i.lost || alone && i.Trial
+	i.isolatedLoss = i.isolatedLoss || alone && i.Trial
 }
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,17 +1,18 @@
-// Package quarantine decides which requests are kept from upstreams because they crash those
-// that run them: poison requests. It is pure; its caller holds the lock.
+// Package quarantine detects poison requests, which crash the upstreams that run them, and
+// decides whether a request may be sent. It reads no clock and takes no lock; callers pass the
+// time and hold a lock.
 //
-// Such a request has no answer, so that its caller asks again, under another id and at any
-// VM, and each attempt ends as many upstreams as it is sent to. One notices upstreams of a
-// service that end by the dozen, and again as soon as they are back, while all other callers
-// of the service are refused. VMs therefore remember what was asked when an upstream ended,
-// and tell each other.
+// A poison request is never answered, so its caller retries it under another request id and at
+// any VM, and each attempt crashes every upstream that it reaches. Upstreams of the service
+// then end by the dozen, and again as soon as they have restarted, while all other callers of
+// the service are refused. VMs therefore record the content of requests under which upstreams
+// end, and share the records.
 //
-// An upstream may have ended for any other reason, so that a request is taken to be at fault
-// only by a chain of crashes: each of an upstream that it was sent to after the crash before
-// was seen. A request under which several upstreams have ended becomes a suspect, and is
-// tried at one upstream alone; it is blocked when that one ends as well, and cleared as soon
-// as any upstream has survived it.
+// An upstream may end for another reason, so a request is blamed only for a chain of crashes.
+// A chain consists of rounds: a crash starts a new round if its upstream was sent the request
+// after the first crash of the previous round. A request under which several upstreams have
+// ended becomes a suspect, which is tried at one upstream at a time (a trial). It is blocked
+// if that upstream ends too, and cleared as soon as any upstream has survived it.
 package quarantine
 
 import (
@@ -22,89 +23,92 @@
 )
 
 const (
-	// suspectCrashes and suspectRounds make a suspect. A query that goes to many shards has
-	// several crashes when a part of the upstreams ends at once, but then others answer it.
-	// Operators bound what is sent after the third crash.
+	// A request becomes a suspect after suspectCrashes crashes or suspectRounds rounds. A query
+	// to many shards has several crashes when part of the upstreams end at once, but then the
+	// other upstreams answer it. Operators limit the sends after the third crash.
 	suspectCrashes = 3
 	suspectRounds  = 2
-	// blockRounds is the length of a chain that blocks by itself. Where a whole service goes
-	// down within a second, a request that is at no fault may meet two or three crashes one
-	// after the other, and hardly four, each within the tens of milliseconds that a send
-	// lasts.
+	// blockRounds is the length of a chain that blocks a request without a trial. When a whole
+	// service ends within a second, an innocent request may meet two or three crashes one
+	// after the other, each within the tens of milliseconds of a send, but hardly four.
 	blockRounds = 4
-	// settled is how long after the crash before it a trial must have been sent to block by
-	// itself. What made several upstreams end at once is over by then.
-	settled = time.Second
-	// blockFirst is how long a request is blocked after its last crash; then it is tried once
-	// more, and blocked for blockGrowth times as long if that upstream ends too. With these
-	// a request that never stops coming ends three upstreams in three days.
-	blockFirst  = 15 * time.Minute
-	blockGrowth = 16
-	blockMost   = 14 * 24 * time.Hour
-	// watchFor is how long crashes are remembered that make no suspect, suspectFor for how
-	// long those that do, and clearedFor how long peers are told that a request is cleared.
-	watchFor   = 10 * time.Minute
-	suspectFor = 24 * time.Hour
-	clearedFor = time.Minute
-	// trialFor is how long a trial keeps others from beginning one: several times what an
-	// answer takes, and the way to all peers.
-	trialFor = time.Second
-	// tellSuspect is how long an attempt under which upstreams ended may go on until peers
-	// are told all the same: several times what an answer takes.
-	tellSuspect = 500 * time.Millisecond
-	// tellCrashes is how many upstreams that ended under one attempt make a suspect that peers
-	// are told of at once: its caller, or others, may ask the same of them before the attempt
-	// ends. A query that has lost only some of its parts is cleared by the others first.
-	tellCrashes = MaxEnded
-	// repeatFor is how long crashes that make no suspect are told to peers again.
-	repeatFor = time.Minute
-	// maxRecords bounds what is remembered, to about 200 KB.
+	// settleTime is how long after the last crash a trial must be sent for its own crash to
+	// block the request. An event that ends several upstreams at once is over within this time.
+	settleTime = time.Second
+	// initialBlock is the duration of the first block, counted from the last crash. The request
+	// is then tried once, and blocked for blockGrowth times as long if the trial's upstream ends
+	// too. With these values a request that is retried without end crashes three upstreams in
+	// three days.
+	initialBlock = 15 * time.Minute
+	blockGrowth  = 16
+	maxBlock     = 14 * 24 * time.Hour
+	// crashRetention is how long the crashes of a request that is no suspect are kept,
+	// suspectRetention how long a suspect is kept, and clearedRetention how long peers are
+	// informed that a request is cleared.
+	crashRetention   = 10 * time.Minute
+	suspectRetention = 24 * time.Hour
+	clearedRetention = time.Minute
+	// trialTimeout is how long a trial prevents others: several times the time of an answer and
+	// of a message to all peers.
+	trialTimeout = time.Second
+	// shareSuspectAfter is how long after the last crash a suspect is sent to peers although its
+	// attempt still runs: several times the time of an answer.
+	shareSuspectAfter = 500 * time.Millisecond
+	// shareCrashes is the number of crashes at which a request is sent to peers at once: its
+	// caller or others may send it to them before the attempt ends. A query that has lost only
+	// some of its parts is cleared by the other parts first.
+	shareCrashes = MaxInstances
+	// repeatCrashesFor is how long the crashes of a request that is no suspect are re-sent to
+	// peers.
+	repeatCrashesFor = time.Minute
+	// maxRecords limits the memory of a Table to about 200 KB.
 	maxRecords = 1024
-	// MaxEnded is how many upstreams that ended are told apart for one request.
-	MaxEnded = 8
+	// MaxInstances is how many ended upstreams are kept per request.
+	MaxInstances = 8
 )
 
-// Standing is how a request is to be treated.
+// Standing is how a request is treated.
 type Standing int
 
-// Standings.
+// Standings in increasing order of severity.
 const (
-	// Free requests are run as any other.
+	// Free requests run without restriction.
 	Free Standing = iota
-	// Suspect requests are tried at one upstream first, by one VM at a time.
+	// Suspect requests are tried at one upstream at a time, by one VM at a time.
 	Suspect
 	// Blocked requests are sent to no upstream.
 	Blocked
 )
 
-// String is the standing's name in logs and metrics.
+// String returns the standing's name in logs and metrics.
 func (s Standing) String() string { return [...]string{"free", "suspect", "blocked"}[s] }
 
-// Crash is an upstream that ended while it had a request.
+// Crash is the end of an upstream that was running a request.
 type Crash struct {
-	// Start names the upstream and its start.
+	// Start identifies one process of an upstream: a hash of its name and, if known, its start
+	// time.
 	Start uint32
-	// SentAt is when the request was sent to it, EndedAt when its connection ended.
+	// SentAt is when the request was sent, EndedAt when the upstream's connection closed.
 	SentAt, EndedAt time.Time
 }
 
-// Entry is what one VM tells others of a request.
+// Entry is the state of one request as VMs share it.
 type Entry struct {
 	Content fingerprint.Fingerprint
-	// Epoch is odd while crashes are held against the request, and even once it is cleared.
-	// The highest one holds.
+	// Epoch is odd while the request has crashes and even once it is cleared. The entry with
+	// the highest epoch is in force.
 	Epoch uint32
-	// Rounds is the length of the chain of crashes, Blocks how often it was blocked.
+	// Rounds is the length of the chain of crashes, Blocks how often the request was blocked.
 	Rounds, Blocks uint32
-	// Ended names the upstreams that ended, MaxEnded at most.
+	// Ended identifies the upstreams that ended, at most MaxInstances, as Crash.Start does.
 	Ended []uint32
-	// Age is the time since the last crash.
+	// Age is the time since the last crash, or since the request was cleared.
 	Age time.Duration
-	// Trial says that the sender tries the request now.
+	// Trial reports that the sender has started a trial of the request.
 	Trial bool
 }
 
-// Transition is a change of a request's standing.
+// Transition describes a request's standing before and after an update.
 type Transition struct {
 	Content        fingerprint.Fingerprint
 	Was, Is        Standing
@@ -112,47 +116,48 @@
 	Rounds, Blocks uint32
 }
 
-// record is what is held of one request.
+// record is the state of one request.
 type record struct {
 	epoch, rounds, blocks uint32
-	ended                 []uint32
-	// lastCrash is the last crash, or when the request was cleared.
+	instances             []uint32
+	// lastCrash is the time of the last crash, or when the request was cleared.
 	lastCrash time.Time
-	// roundAt is the first crash of the last round: what is sent later is of the next one.
-	roundAt time.Time
-	// tryingUntil is until when a trial is taken to be under way.
-	tryingUntil time.Time
-	// trial says that the trial is this VM's and is to be told.
-	trial bool
-	// shared says that peers know of it, news that they are to be told.
-	shared, news bool
+	// roundStart is the time of the first crash in the current round. Crashes of later sends
+	// belong to the next round.
+	roundStart time.Time
+	// trialUntil is when the current trial times out.
+	trialUntil time.Time
+	// announceTrial is set while this VM has a trial that peers have not been sent.
+	announceTrial bool
+	// shared is set once peers have the record, pending while it waits to be sent to all peers.
+	shared, pending bool
 }
 
-// Table is what a VM knows of requests under which upstreams have ended. It is not safe for
-// concurrent use.
+// Table holds the requests under which upstreams have ended. It is not safe for concurrent use.
 type Table struct {
 	records map[fingerprint.Fingerprint]*record
-	// ring is the order in which records are told again, next the place in it.
-	ring []fingerprint.Fingerprint
-	next int
-	// recent is what was survived lately here.
-	recent recent
+	// ring is the order in which records are re-sent, ringPos the next position in it.
+	ring    []fingerprint.Fingerprint
+	ringPos int
+	// recent holds the requests that upstreams recently survived on this VM.
+	recent recentSurvivals
 }
 
-// New is a table that knows of no crash.
+// New returns an empty Table.
 func New() *Table { return &Table{records: map[fingerprint.Fingerprint]*record{}} }
 
-// Empty tells whether no request is held.
+// Empty reports whether the table has no records.
 func (t *Table) Empty() bool { return len(t.records) == 0 }
 
-// Standing is how a request is to be treated, and until when that holds if it is blocked.
+// Standing returns a request's standing and, if the request has been blocked, the end of its
+// last block.
 func (t *Table) Standing(now time.Time, content fingerprint.Fingerprint) (Standing, time.Time) {
 	r := t.records[content]
 	if r == nil {
 		return Free, time.Time{}
 	}
 	standing := r.standing(now)
-	if standing == Suspect && t.recent.has(now, content) {
+	if standing == Suspect && t.recent.contains(now, content) {
 		standing = Free
 	}
 	return standing, r.blockedUntil()
@@ -173,62 +178,62 @@
 
 func (r *record) cleared() bool { return r.epoch%2 == 0 }
 
-// blockedUntil is when a block of the record ends; zero without one.
+// blockedUntil returns the end of the last block, or the zero time if the request was never
+// blocked.
 func (r *record) blockedUntil() time.Time {
 	if r.blocks == 0 {
 		return time.Time{}
 	}
-	term := blockFirst
-	for i := uint32(1); i < r.blocks && term < blockMost; i++ {
+	term := initialBlock
+	for i := uint32(1); i < r.blocks && term < maxBlock; i++ {
 		term *= blockGrowth
 	}
-	return r.lastCrash.Add(min(term, blockMost))
+	return r.lastCrash.Add(min(term, maxBlock))
 }
 
-// Crashed takes in an upstream that ended under a request of which no upstream has survived
-// the run.
+// Crashed records a crash in an attempt that no upstream has survived.
 func (t *Table) Crashed(now time.Time, content fingerprint.Fingerprint, c Crash) Transition {
-	r := t.hold(now, content)
+	r := t.getOrCreate(now, content)
 	was := r.standing(now)
 	if r.cleared() {
 		*r = record{epoch: r.epoch + 1, shared: r.shared}
 	}
-	next := r.rounds == 0 || c.SentAt.After(r.roundAt)
-	alone := r.rounds > 0 && c.SentAt.Sub(r.lastCrash) >= settled
-	if slices.Contains(r.ended, c.Start) && !alone {
-		// Another of the connections that ended with it, or one that was found ended a
-		// moment later. After a while it is the next process under the same name.
-		return r.turn(now, content, was)
+	newRound := r.rounds == 0 || c.SentAt.After(r.roundStart)
+	settled := r.rounds > 0 && c.SentAt.Sub(r.lastCrash) >= settleTime
+	if slices.Contains(r.instances, c.Start) && !settled {
+		// Another connection to the same process, or a late detection of the same crash. After
+		// settleTime the crash is that of the next process under the same name.
+		return r.transition(now, content, was)
 	}
-	r.name(c.Start)
-	if next {
+	r.addInstance(c.Start)
+	if newRound {
 		r.rounds++
-		r.roundAt = c.EndedAt
+		r.roundStart = c.EndedAt
 	}
 	if c.EndedAt.After(r.lastCrash) {
 		r.lastCrash = c.EndedAt
 	}
-	if was != Blocked && r.crashes() >= suspectCrashes && (r.rounds >= blockRounds && r.blocks == 0 || next && alone) {
+	if was != Blocked && r.crashes() >= suspectCrashes && (r.rounds >= blockRounds && r.blocks == 0 || newRound && settled) {
 		r.blocks++
 	}
-	turn := r.turn(now, content, was)
-	r.news = r.news || r.shared || turn.Was != Blocked && turn.Is == Blocked || r.crashes() >= tellCrashes
-	return turn
+	change := r.transition(now, content, was)
+	r.pending = r.pending || r.shared || change.Was != Blocked && change.Is == Blocked || r.crashes() >= shareCrashes
+	return change
 }
 
-// Unanswered notes that an attempt has ended without an upstream that survived it: what is
-// known of the request is told to peers, as its caller may come to any of them next. Told
-// before, each query that has lost some of its parts would be told to all, and a moment later
-// that another part has cleared it.
+// Unanswered records that an attempt has ended and no upstream has survived it. The request
+// is then sent to all peers, as its caller may retry at any VM. Sending it earlier would cost
+// two messages for each query that loses some of its parts: its crashes and, once another part
+// is answered, its clearance.
 func (t *Table) Unanswered(content fingerprint.Fingerprint) {
 	if r := t.records[content]; r != nil && !r.cleared() && !r.shared {
-		r.news = true
+		r.pending = true
 	}
 }
 
-// Survived takes in that an upstream has run the request and lives: it is cleared.
+// Survived records that an upstream has run the request without a crash, which clears it.
 func (t *Table) Survived(now time.Time, content fingerprint.Fingerprint) Transition {
-	t.recent.note(now, content)
+	t.recent.add(now, content)
 	r := t.records[content]
 	if r == nil || r.cleared() {
 		return Transition{}
@@ -238,42 +243,42 @@
 		delete(t.records, content)
 		return Transition{Content: content, Was: was}
 	}
-	*r = record{epoch: r.epoch + 1, lastCrash: now, shared: true, news: true}
-	return r.turn(now, content, was)
+	*r = record{epoch: r.epoch + 1, lastCrash: now, shared: true, pending: true}
+	return r.transition(now, content, was)
 }
 
-// Merge takes in what a peer tells.
+// Merge merges an entry received from a peer.
 func (t *Table) Merge(now time.Time, e Entry) Transition {
 	r := t.records[e.Content]
 	if r == nil && e.Epoch%2 == 0 {
 		return Transition{}
 	}
-	r = t.hold(now, e.Content)
+	r = t.getOrCreate(now, e.Content)
 	was := r.standing(now)
 	if e.Trial {
-		r.tryingUntil = now.Add(trialFor)
+		r.trialUntil = now.Add(trialTimeout)
 	}
 	lastCrash := now.Add(-e.Age)
 	switch {
 	case e.Epoch < r.epoch:
 	case e.Epoch > r.epoch:
-		*r = record{epoch: e.Epoch, rounds: e.Rounds, blocks: e.Blocks, ended: slices.Clone(e.Ended), lastCrash: lastCrash, roundAt: now, tryingUntil: r.tryingUntil}
+		*r = record{epoch: e.Epoch, rounds: e.Rounds, blocks: e.Blocks, instances: slices.Clone(e.Ended), lastCrash: lastCrash, roundStart: now, trialUntil: r.trialUntil}
 	default:
-		r.join(now, e, lastCrash)
+		r.mergeEpoch(now, e, lastCrash)
 	}
 	r.shared = true
-	return r.turn(now, e.Content, was)
+	return r.transition(now, e.Content, was)
 }
 
-// join adds what a peer tells of the same epoch. A round of crashes here that the peer had
-// at the same time stays one.
-func (r *record) join(now time.Time, e Entry, lastCrash time.Time) {
+// mergeEpoch merges an entry of the record's own epoch. It takes the larger number of rounds
+// and does not add the two: a round seen by both VMs counts once.
+func (r *record) mergeEpoch(now time.Time, e Entry, lastCrash time.Time) {
 	for _, start := range e.Ended {
-		r.name(start)
+		r.addInstance(start)
 	}
 	if e.Rounds > r.rounds {
 		r.rounds = e.Rounds
-		r.roundAt = now
+		r.roundStart = now
 	}
 	r.blocks = max(r.blocks, e.Blocks)
 	if lastCrash.After(r.lastCrash) {
@@ -281,84 +286,85 @@
 	}
 }
 
-// name adds an upstream that ended.
-func (r *record) name(start uint32) {
-	if len(r.ended) < MaxEnded && !slices.Contains(r.ended, start) {
-		r.ended = append(r.ended, start)
+// addInstance adds an upstream that ended, unless it is known or MaxInstances are.
+func (r *record) addInstance(start uint32) {
+	if len(r.instances) < MaxInstances && !slices.Contains(r.instances, start) {
+		r.instances = append(r.instances, start)
 	}
 }
 
-// crashes is how many upstreams are known to have ended: where processes keep their names
-// when they start again, more than can be told apart by them.
-func (r *record) crashes() int { return max(len(r.ended), int(r.rounds)) }
+// crashes returns the number of known crashes. It is larger than the number of instances if
+// restarted processes keep their identifier.
+func (r *record) crashes() int { return max(len(r.instances), int(r.rounds)) }
 
-// turn is the change since the request had another standing.
-func (r *record) turn(now time.Time, content fingerprint.Fingerprint, was Standing) Transition {
+// transition returns the change from the standing was to the current one.
+func (r *record) transition(now time.Time, content fingerprint.Fingerprint, was Standing) Transition {
 	return Transition{Content: content, Was: was, Is: r.standing(now), Crashes: r.crashes(), Rounds: r.rounds, Blocks: r.blocks}
 }
 
-// hold is the record of a request, made when there is none.
-func (t *Table) hold(now time.Time, content fingerprint.Fingerprint) *record {
+// getOrCreate returns the record of a request. If it creates one in a full table, it evicts
+// another.
+func (t *Table) getOrCreate(now time.Time, content fingerprint.Fingerprint) *record {
 	r := t.records[content]
 	if r != nil {
 		return r
 	}
 	if len(t.records) >= maxRecords {
-		t.drop(now)
+		t.evict(now)
 	}
 	r = &record{epoch: 1}
 	t.records[content] = r
 	return r
 }
 
-// drop makes room: the record goes that matters least, of several the one whose last crash
-// is longest ago.
-func (t *Table) drop(now time.Time) {
+// evict removes the record of the lowest severity.
+func (t *Table) evict(now time.Time) {
 	var least fingerprint.Fingerprint
-	var held *record
+	var leastRecord *record
 	for content, r := range t.records {
-		if held == nil || r.matters(now, held) < 0 {
-			least, held = content, r
+		if leastRecord == nil || r.compareSeverity(now, leastRecord) < 0 {
+			least, leastRecord = content, r
 		}
 	}
 	delete(t.records, least)
 }
 
-// matters compares two records by how much they matter.
-func (r *record) matters(now time.Time, other *record) int {
+// compareSeverity compares two records by standing, then by the time of the last crash: the
+// later one is more severe.
+func (r *record) compareSeverity(now time.Time, other *record) int {
 	if d := int(r.standing(now)) - int(other.standing(now)); d != 0 {
 		return d
 	}
 	return r.lastCrash.Compare(other.lastCrash)
 }
 
-// Expire forgets what is too old, and lets peers be told of suspects whose attempt goes on.
-// It is to be called each second or so.
+// Expire removes records past their retention, and marks suspects whose attempt still runs
+// after shareSuspectAfter for sending to peers. Call it about once a second.
 func (t *Table) Expire(now time.Time) {
 	for content, r := range t.records {
 		switch {
-		case now.After(r.keepUntil(now)):
+		case now.After(r.expiry(now)):
 			delete(t.records, content)
-		case !r.shared && r.standing(now) == Suspect && now.Sub(r.lastCrash) >= tellSuspect:
-			r.news = true
+		case !r.shared && r.standing(now) == Suspect && now.Sub(r.lastCrash) >= shareSuspectAfter:
+			r.pending = true
 		}
 	}
 }
 
-func (r *record) keepUntil(now time.Time) time.Time {
+func (r *record) expiry(now time.Time) time.Time {
 	switch {
 	case r.cleared():
-		return r.lastCrash.Add(clearedFor)
+		return r.lastCrash.Add(clearedRetention)
 	case r.blocks > 0:
-		return r.blockedUntil().Add(suspectFor)
+		return r.blockedUntil().Add(suspectRetention)
 	case r.standing(now) == Suspect:
-		return r.lastCrash.Add(suspectFor)
+		return r.lastCrash.Add(suspectRetention)
 	default:
-		return r.lastCrash.Add(watchFor)
+		return r.lastCrash.Add(crashRetention)
 	}
 }
 
-// Count is how many requests have each standing.
+// Count returns the number of records by standing.
 func (t *Table) Count(now time.Time) map[Standing]int {
 	out := map[Standing]int{}
 	for _, r := range t.records {
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -7,91 +7,93 @@
 	"sycamorekeel.example/sycamorekeel/internal/fingerprint"
 )
 
-// HasNews tells whether peers are to be told of something.
-func (t *Table) HasNews() bool {
+// HasPending reports whether any entry waits to be sent to all peers.
+func (t *Table) HasPending() bool {
 	for _, r := range t.records {
-		if r.news {
+		if r.pending {
 			return true
 		}
 	}
 	return false
 }
 
-// News is what all peers are to be told at once, most of it first what matters most; what is
-// given counts as told.
-func (t *Table) News(now time.Time, most int) []Entry {
-	var fresh []fingerprint.Fingerprint
+// TakePending returns up to limit entries to send to all peers now, the most severe first, and
+// marks them as sent.
+func (t *Table) TakePending(now time.Time, limit int) []Entry {
+	var pending []fingerprint.Fingerprint
 	for content, r := range t.records {
-		if r.news {
-			fresh = append(fresh, content)
+		if r.pending {
+			pending = append(pending, content)
 		}
 	}
-	slices.SortFunc(fresh, func(a, b fingerprint.Fingerprint) int {
-		return t.records[b].matters(now, t.records[a])
+	slices.SortFunc(pending, func(a, b fingerprint.Fingerprint) int {
+		return t.records[b].compareSeverity(now, t.records[a])
 	})
 	var out []Entry
-	for _, content := range fresh[:min(most, len(fresh))] {
+	for _, content := range pending[:min(limit, len(pending))] {
 		r := t.records[content]
 		out = append(out, r.entry(now, content))
-		r.news, r.trial, r.shared = false, false, true
+		r.pending, r.announceTrial, r.shared = false, false, true
 	}
 	return out
 }
 
-// Repeat is some of what peers should know, another part with each call: a datagram may have
-// been lost, and a VM may have been cut off or have started since.
-func (t *Table) Repeat(now time.Time, most int) []Entry {
+// NextRepeats returns up to limit entries to send to peers again. Successive calls go through
+// all shared records in turn. Peers may lack an entry because a datagram was lost, or because
+// they were disconnected or started later.
+func (t *Table) NextRepeats(now time.Time, limit int) []Entry {
 	var out []Entry
 	for range len(t.records) {
-		content := t.step()
+		content := t.nextInRing()
 		r := t.records[content]
-		if r == nil || !r.repeats(now) {
+		if r == nil || !r.shouldRepeat(now) {
 			continue
 		}
 		out = append(out, r.entry(now, content))
-		if len(out) == most {
+		if len(out) == limit {
 			break
 		}
 	}
 	return out
 }
 
-// step is the next record to be told again.
-func (t *Table) step() fingerprint.Fingerprint {
-	if t.next >= len(t.ring) {
+// nextInRing returns the next record to re-send. After the last one it starts over with the
+// current records.
+func (t *Table) nextInRing() fingerprint.Fingerprint {
+	if t.ringPos >= len(t.ring) {
 		t.ring = t.ring[:0]
 		for content := range t.records {
 			t.ring = append(t.ring, content)
 		}
-		t.next = 0
+		t.ringPos = 0
 	}
-	t.next++
-	return t.ring[t.next-1]
+	t.ringPos++
+	return t.ring[t.ringPos-1]
 }
 
-// repeats tells whether a record is worth being told again. Crashes that make no suspect are
-// mostly of requests at no fault: told for as long as they are kept, they would make up all
-// that is told after the loss of many upstreams.
-func (r *record) repeats(now time.Time) bool {
+// shouldRepeat reports whether a record is to be re-sent. Crashes that make no suspect belong
+// mostly to innocent requests. If they were re-sent for as long as they are kept, they would
+// fill all messages after the loss of many upstreams.
+func (r *record) shouldRepeat(now time.Time) bool {
 	if !r.shared {
 		return false
 	}
-	return r.standing(now) != Free || now.Sub(r.lastCrash) < repeatFor
+	return r.standing(now) != Free || now.Sub(r.lastCrash) < repeatCrashesFor
 }
 
-// All is what a VM that starts is to be told, what matters most first.
-func (t *Table) All(now time.Time, most int) []Entry {
+// Snapshot returns up to limit entries for a VM that starts, the most severe first.
+func (t *Table) Snapshot(now time.Time, limit int) []Entry {
 	var shared []fingerprint.Fingerprint
 	for content, r := range t.records {
-		if r.repeats(now) {
+		if r.shouldRepeat(now) {
 			shared = append(shared, content)
 		}
 	}
 	slices.SortFunc(shared, func(a, b fingerprint.Fingerprint) int {
-		return t.records[b].matters(now, t.records[a])
+		return t.records[b].compareSeverity(now, t.records[a])
 	})
 	var out []Entry
-	for _, content := range shared[:min(most, len(shared))] {
+	for _, content := range shared[:min(limit, len(shared))] {
 		out = append(out, t.records[content].entry(now, content))
 	}
 	return out
@@ -100,6 +102,6 @@
 func (r *record) entry(now time.Time, content fingerprint.Fingerprint) Entry {
 	return Entry{
 		Content: content, Epoch: r.epoch, Rounds: r.rounds, Blocks: r.blocks,
-		Ended: slices.Clone(r.ended), Age: max(0, now.Sub(r.lastCrash)), Trial: r.trial,
+		Ended: slices.Clone(r.instances), Age: max(0, now.Sub(r.lastCrash)), Trial: r.announceTrial,
 	}
 }
--- a/internal/quarantine/wire.go
+++ b/internal/quarantine/wire.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// MaxTold is how many entries fit into one datagram beside its sender.
-	MaxTold = 10
-	// maxEpoch and maxCount bound what a peer may claim: no VM counts as far.
+	// MaxDatagramEntries is how many entries fit into one datagram besides its sender.
+	MaxDatagramEntries = 10
+	// maxEpoch and maxCount limit the values accepted from a peer. No VM counts that far.
 	maxEpoch = 1 << 31
 	maxCount = 1 << 16
-	// maxAge is the greatest age taken in: what is older is forgotten.
-	maxAge = blockMost + suspectFor
+	// maxAge is the maximum accepted age. VMs keep no record longer.
+	maxAge = maxBlock + suspectRetention
 )
 
-// Encode is entries as they are sent.
+// Encode returns the wire form of entries.
 func Encode(entries []Entry) []*pb.QuarantineEntry {
 	var out []*pb.QuarantineEntry
 	for _, e := range entries {
@@ -29,10 +29,10 @@
 	return out
 }
 
-// Decode is entries as they were received, and how many of them make no sense.
+// Decode returns the valid entries of a received message and the number of invalid ones.
 func Decode(entries []*pb.QuarantineEntry) (good []Entry, dropped int) {
 	for _, m := range entries {
-		if !wellFormed(m) {
+		if !valid(m) {
 			dropped++
 			continue
 		}
@@ -44,8 +44,8 @@
 	return good, dropped
 }
 
-func wellFormed(m *pb.QuarantineEntry) bool {
-	return m != nil && len(m.Content) == len(fingerprint.Fingerprint{}) && len(m.Ended) <= MaxEnded &&
+func valid(m *pb.QuarantineEntry) bool {
+	return m != nil && len(m.Content) == len(fingerprint.Fingerprint{}) && len(m.Ended) <= MaxInstances &&
 		m.Epoch > 0 && m.Epoch < maxEpoch && m.Rounds < maxCount && m.Blocks < maxCount &&
 		m.AgeMs <= uint64(maxAge.Milliseconds())
 }
--- a/internal/quarantine/wire_test.go
+++ b/internal/quarantine/wire_test.go
@@ -10,7 +10,7 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-func TestEntriesOnTheWire(t *testing.T) {
+func TestEncodeDecode(t *testing.T) {
 	want := []Entry{
 		{Content: content(1), Epoch: 3, Rounds: 4, Blocks: 1, Ended: []uint32{1, 1 << 31}, Age: 7 * time.Second, Trial: true},
 		{Content: content(2), Epoch: 2},
@@ -21,8 +21,8 @@
 	}
 }
 
-// What a peer with a fault, or somebody else, sends is not taken in.
-func TestEntriesThatMakeNoSense(t *testing.T) {
+// Invalid entries from a faulty peer or a forger are dropped.
+func TestDecodeDropsInvalidEntries(t *testing.T) {
 	good := Encode([]Entry{{Content: content(1), Epoch: 1, Rounds: 1}})[0]
 	for name, spoil := range map[string]func(*pb.QuarantineEntry){
 		"no content":     func(m *pb.QuarantineEntry) { m.Content = nil },
@@ -36,18 +36,18 @@
 		bad := proto.Clone(good).(*pb.QuarantineEntry)
 		spoil(bad)
 		if got, dropped := Decode([]*pb.QuarantineEntry{bad, nil, good}); len(got) != 1 || dropped != 2 {
-			t.Errorf("%s: %d taken in, %d dropped", name, len(got), dropped)
+			t.Errorf("%s: %d accepted, %d dropped", name, len(got), dropped)
 		}
 	}
 }
 
-// A datagram holds MaxTold entries of the greatest size.
-func TestEntriesFitIntoADatagram(t *testing.T) {
-	// room is what a datagram has beside its signature, sequence and sender.
+// MaxDatagramEntries entries of the maximum size fit into a datagram.
+func TestEntriesFitIntoDatagram(t *testing.T) {
+	// room is a datagram's size in bytes without its signature, sequence number and sender.
 	const room = 900
 	d := &pb.Datagram{}
-	for range MaxTold {
-		e := Entry{Content: content(1), Epoch: maxEpoch - 1, Rounds: maxCount - 1, Blocks: maxCount - 1, Ended: make([]uint32, MaxEnded), Age: maxAge, Trial: true}
+	for range MaxDatagramEntries {
+		e := Entry{Content: content(1), Epoch: maxEpoch - 1, Rounds: maxCount - 1, Blocks: maxCount - 1, Ended: make([]uint32, MaxInstances), Age: maxAge, Trial: true}
 		d.Quarantine = append(d.Quarantine, Encode([]Entry{e})...)
 	}
 	if n := proto.Size(d); n > room {
