--- a/internal/poison/broadcast.go
+++ b/internal/poison/broadcast.go
@@ -10,22 +10,24 @@
 )
 
 const (
-	// minBroadcastGap is the least time between two words to all peers. The first one goes out at
-	// once; in a storm of crashes one to 300 VMs is at most some megabytes a second.
+	// minBroadcastGap is the minimum time between two broadcasts to all peers. The first is sent
+	// at once. During many crashes, broadcasts to 300 VMs take at most a few megabytes per
+	// second.
 	minBroadcastGap = 100 * time.Millisecond
-	// repeatInterval is how often peers are told again what they may have missed, repeatPeers
-	// how many: over the fleet each VM hears it about as often.
+	// repeatInterval is how often entries are re-sent, repeatFanout to how many random peers.
+	// Over the fleet, each VM receives repeats about as often as it sends them.
 	repeatInterval = time.Second
-	repeatFanout = 2
+	repeatFanout   = 2
 )
 
-// Broadcaster sends entries to so many members, or to membership.All.
+// Broadcaster sends entries to up to maxPeers random members, or to all if maxPeers is
+// membership.All.
 type Broadcaster interface {
-	Broadcast(entries []*pb.QuarantineEntry, most int)
+	Broadcast(entries []*pb.QuarantineEntry, maxPeers int)
 }
 
-// Run tells peers what is known until ctx ends: all of them at once what is new, as the
-// caller may come to any VM next, and some of them each second what they may have missed.
+// Run shares entries with peers until ctx ends. New entries go to all peers at once, as a caller
+// may retry at any VM. Each second, earlier entries go to some peers that may have missed them.
 func (g *Guard) Run(ctx context.Context, to Broadcaster) error {
 	t := time.NewTicker(repeatInterval)
 	defer t.Stop()
@@ -45,6 +47,7 @@
 	}
 }
 
+// broadcastPending sends all pending entries to all peers, one datagram per minBroadcastGap.
 func (g *Guard) broadcastPending(ctx context.Context, to Broadcaster) {
 	for more := true; more && ctx.Err() == nil; {
 		var entries []quarantine.Entry
@@ -57,7 +60,7 @@
 	}
 }
 
-// Heard takes in entries as a peer sent them.
+// Heard merges entries received from a peer. It drops and counts invalid ones.
 func (g *Guard) Heard(peer string, entries []*pb.QuarantineEntry) {
 	good, dropped := quarantine.Decode(entries)
 	g.Learn(time.Now(), peer, good, dropped)
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -1,8 +1,8 @@
-// Package poison drives a quarantine.Table for one VM: it holds the lock, logs and counts
-// what changes, lets suspects wait for their turn, and tells when peers are to hear of
-// something. It decides nothing.
+// Package poison runs a quarantine.Table for one VM. It guards the table with a lock, logs and
+// counts changes, makes attempts of suspects wait for their trial, and sends entries to peers.
+// All decisions are in package quarantine.
 //
-// Lock order: Guard.mu is a leaf.
+// Lock order: Guard.mu is a leaf; no other lock is acquired while it is held.
 package poison
 
 import (
@@ -18,15 +18,15 @@
 	"sycamorekeel.example/sycamorekeel/internal/quarantine"
 )
 
-// Metrics counts what a guard sees.
+// Metrics holds the counters of a Guard.
 type Metrics struct {
-	crashes prometheus.Counter
-	trials  prometheus.Counter
-	transitions   *prometheus.CounterVec
+	crashes        prometheus.Counter
+	trials         prometheus.Counter
+	transitions    *prometheus.CounterVec
 	droppedEntries prometheus.Counter
 }
 
-// NewMetrics registers a guard's counters.
+// NewMetrics creates the counters and registers them with reg.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		crashes: prometheus.NewCounter(prometheus.CounterOpts{
@@ -46,42 +46,44 @@
 	return m
 }
 
-// Guard keeps requests that crash upstreams from them. It is safe for concurrent use.
+// Guard stops requests that crash upstreams. It is safe for concurrent use.
 type Guard struct {
-	logs logring.Loggers
-	metrics  *Metrics
+	logs    logring.Loggers
+	metrics *Metrics
+	// pending is signalled when the table has entries for all peers.
 	pending chan struct{}
-	// nonEmpty says that the table holds something: it is looked at for each request.
+	// nonEmpty is set while the table has records. Each request reads it without the lock.
 	nonEmpty atomic.Bool
 
 	mu    sync.Mutex
 	table *quarantine.Table
 }
 
-// New is a guard that knows of no crash.
-func New(logs logring.Loggers, met *Metrics) *Guard {
-	return &Guard{logs: logs, metrics: met, pending: make(chan struct{}, 1), table: quarantine.New()}
+// New returns a Guard with an empty table.
+func New(logs logring.Loggers, metrics *Metrics) *Guard {
+	return &Guard{logs: logs, metrics: metrics, pending: make(chan struct{}, 1), table: quarantine.New()}
 }
 
-// Subject is the request that a word to a guard is about.
+// Subject identifies a request to a Guard.
 type Subject struct {
 	Content fingerprint.Fingerprint
-	// Fields say in logs what is asked and by which attempt.
+	// Fields describe the request and the attempt in logs.
 	Fields []zap.Field
 }
 
-// Empty tells whether no request is held: what is asked need not be worked out then.
+// Empty reports whether the table has no records. Callers need not compute a request's
+// fingerprint then.
 func (g *Guard) Empty() bool { return !g.nonEmpty.Load() }
 
-// update makes a change of the table.
-func (g *Guard) update(do func(*quarantine.Table)) {
+// update calls f with the table, under the lock.
+func (g *Guard) update(f func(*quarantine.Table)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	do(g.table)
+	f(g.table)
 	g.nonEmpty.Store(!g.table.Empty())
 }
 
-// Blocked tells whether a request is sent to no upstream now.
+// Blocked reports whether a request must not be sent to any upstream.
 func (g *Guard) Blocked(now time.Time, content fingerprint.Fingerprint) bool {
 	standing, _ := g.standing(now, content)
 	return standing == quarantine.Blocked
@@ -93,8 +95,9 @@
 	return g.table.Standing(now, content)
 }
 
-// Admit tells how an attempt may be run. A suspect waits for its turn to be tried, which
-// draw, from 0 to 1, places among those of other VMs.
+// Admit decides how an attempt runs. An attempt of a suspect blocks until its trial may start
+// or its wait is over. draw returns a random number from 0 to 1, which delays the trial so that
+// VMs do not start trials at the same time.
 func (g *Guard) Admit(now func() time.Time, draw func() float64, s Subject) quarantine.Admission {
 	standing, until := g.standing(now(), s.Content)
 	if standing != quarantine.Suspect {
@@ -116,30 +119,30 @@
 	return a
 }
 
-// Step is one look of Admit.
+// Step makes one check of Admit without blocking.
 func (g *Guard) Step(now time.Time, content fingerprint.Fingerprint, w *quarantine.Waiting) quarantine.Admission {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.Admit(now, content, w)
 }
 
-// Crashed takes in an upstream that ended under a request.
+// Crashed records an upstream that ended while it ran a request.
 func (g *Guard) Crashed(now time.Time, s Subject, c quarantine.Crash) {
 	g.metrics.crashes.Inc()
-	var turn quarantine.Transition
-	g.update(func(t *quarantine.Table) { turn = t.Crashed(now, s.Content, c) })
-	g.report(turn, s.Fields...)
+	var change quarantine.Transition
+	g.update(func(t *quarantine.Table) { change = t.Crashed(now, s.Content, c) })
+	g.report(change, s.Fields...)
 }
 
-// Survived takes in that an upstream has run a request and lives.
+// Survived records that an upstream has run a request without a crash.
 func (g *Guard) Survived(now time.Time, s Subject) {
-	var turn quarantine.Transition
-	g.update(func(t *quarantine.Table) { turn = t.Survived(now, s.Content) })
-	g.report(turn, s.Fields...)
+	var change quarantine.Transition
+	g.update(func(t *quarantine.Table) { change = t.Survived(now, s.Content) })
+	g.report(change, s.Fields...)
 }
 
-// Unanswered notes that an attempt has ended with no upstream that survived it: peers are
-// told, as its caller may come to any of them next.
+// Unanswered records that an attempt has ended and no upstream has survived it. The request's
+// entry is sent to all peers, as the caller may retry at any VM.
 func (g *Guard) Unanswered(content fingerprint.Fingerprint) {
 	g.mu.Lock()
 	g.table.Unanswered(content)
@@ -147,26 +150,27 @@
 	g.signal()
 }
 
-// Learn takes in what a peer tells; dropped is how many of its entries made no sense.
+// Learn merges the valid entries of a peer. dropped is the number of its invalid entries.
 func (g *Guard) Learn(now time.Time, peer string, entries []quarantine.Entry, dropped int) {
 	g.metrics.droppedEntries.Add(float64(dropped))
 	for _, e := range entries {
-		var turn quarantine.Transition
-		g.update(func(t *quarantine.Table) { turn = t.Merge(now, e) })
+		var change quarantine.Transition
+		g.update(func(t *quarantine.Table) { change = t.Merge(now, e) })
 		g.signal()
-		g.count(turn)
-		// The VM that saw the upstreams end has a line for each change; one of each VM of a
-		// large fleet would leave room for nothing else.
-		if turn.Was != turn.Is && (turn.Was == quarantine.Blocked || turn.Is == quarantine.Blocked) {
-			g.log(turn, zap.String("peer", peer))
+		g.count(change)
+		// The VM that detected the crashes logs every change. If all VMs of a large fleet did,
+		// these lines would crowd out all others.
+		if change.Was != change.Is && (change.Was == quarantine.Blocked || change.Is == quarantine.Blocked) {
+			g.log(change, zap.String("peer", peer))
 		}
 	}
 }
 
-// Pending gives a signal when peers are to be told of something.
+// Pending returns a channel that receives a value when entries wait to be sent to all peers.
 func (g *Guard) Pending() <-chan struct{} { return g.pending }
 
-// News is what all peers are to be told now, and whether there is more.
+// News returns a datagram's worth of entries to send to all peers now, marks them as sent, and
+// reports whether more entries wait.
 func (g *Guard) News(now time.Time) (entries []quarantine.Entry, more bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -174,31 +178,31 @@
 	return entries, g.table.HasPending()
 }
 
-// Repeat is what some peers are to be told again.
+// Repeat returns the next datagram's worth of entries to re-send to some peers.
 func (g *Guard) Repeat(now time.Time) []quarantine.Entry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.NextRepeats(now, quarantine.MaxDatagramEntries)
 }
 
-// All is what a VM that starts is to be told, so many entries at most.
-func (g *Guard) All(now time.Time, most int) []quarantine.Entry {
+// All returns up to limit entries for a VM that starts, the most severe first.
+func (g *Guard) All(now time.Time, limit int) []quarantine.Entry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.table.Snapshot(now, most)
+	return g.table.Snapshot(now, limit)
 }
 
-// Expire forgets what is too old. It is to be called now and then.
+// Expire removes old records. Call it about once a second.
 func (g *Guard) Expire(now time.Time) {
 	g.update(func(t *quarantine.Table) { t.Expire(now) })
 }
 
-// report logs and counts a change of standing, and gives a signal when peers are to hear of it.
-func (g *Guard) report(t quarantine.Transition, more ...zap.Field) {
+// report logs and counts a change of standing, and signals pending entries.
+func (g *Guard) report(t quarantine.Transition, fields ...zap.Field) {
 	g.signal()
 	g.count(t)
 	if t.Was != t.Is {
-		g.log(t, more...)
+		g.log(t, fields...)
 	}
 }
 
@@ -208,21 +212,22 @@
 	}
 }
 
-func (g *Guard) log(t quarantine.Transition, more ...zap.Field) {
+func (g *Guard) log(t quarantine.Transition, fields ...zap.Field) {
 	g.logs.Changes.Warn("poison: request is "+t.Is.String(), append([]zap.Field{
 		zap.Stringer("content", t.Content),
 		zap.Stringer("was", t.Was),
 		zap.Int("crashes", t.Crashes),
 		zap.Uint32("rounds", t.Rounds),
 		zap.Uint32("blocks", t.Blocks),
-	}, more...)...)
+	}, fields...)...)
 }
 
+// signal sends to the pending channel if entries wait, unless a signal is already queued.
 func (g *Guard) signal() {
 	g.mu.Lock()
-	news := g.table.HasPending()
+	pending := g.table.HasPending()
 	g.mu.Unlock()
-	if !news {
+	if !pending {
 		return
 	}
 	select {
@@ -237,7 +242,7 @@
 // Describe implements prometheus.Collector.
 func (g *Guard) Describe(out chan<- *prometheus.Desc) { out <- requestsDesc }
 
-// Collect implements prometheus.Collector: the standings are counted when they are asked for.
+// Collect implements prometheus.Collector. It counts the standings at each call.
 func (g *Guard) Collect(out chan<- prometheus.Metric) {
 	g.mu.Lock()
 	count := g.table.Count(time.Now())
--- a/internal/poison/guard_test.go
+++ b/internal/poison/guard_test.go
@@ -15,60 +15,62 @@
 	"sycamorekeel.example/sycamorekeel/internal/quarantine"
 )
 
-// testTimeout bounds what a test waits for; no test passes by it running out.
+// testTimeout limits the waits of a test. A test that reaches it fails.
 const testTimeout = 10 * time.Second
 
 var subject = Subject{Content: fingerprint.Of("GET", "h", "/", nil)}
 
 func newGuard() *Guard { return New(logring.Nop(), NewMetrics(prometheus.NewRegistry())) }
 
-// crash ends so many upstreams under the subject, all in one moment.
+// crash records simultaneous crashes of several upstreams under subject.
 func (g *Guard) crash(now time.Time, upstreams uint32) {
 	for u := range upstreams {
 		g.Crashed(now, subject, quarantine.Crash{Start: u, SentAt: now.Add(-time.Second), EndedAt: now})
 	}
 }
 
-// broadcast is what a guard tells, and to how many.
+// broadcast holds the arguments of one call of Broadcast.
 type broadcast struct {
-	entries []*pb.QuarantineEntry
-	maxPeers    int
+	entries  []*pb.QuarantineEntry
+	maxPeers int
 }
 
 type recordingBroadcaster chan broadcast
 
-func (t recordingBroadcaster) Broadcast(entries []*pb.QuarantineEntry, most int) { t <- broadcast{entries, most} }
+func (r recordingBroadcaster) Broadcast(entries []*pb.QuarantineEntry, maxPeers int) {
+	r <- broadcast{entries, maxPeers}
+}
 
-func (t recordingBroadcaster) next(test *testing.T) broadcast {
-	test.Helper()
+func (r recordingBroadcaster) next(t *testing.T) broadcast {
+	t.Helper()
 	select {
-	case w := <-t:
-		return w
+	case b := <-r:
+		return b
 	case <-time.After(testTimeout):
-		test.Fatal("nothing is told")
+		t.Fatal("no broadcast")
 		return broadcast{}
 	}
 }
 
-// What is new goes to all peers at once, and to some again; a peer that hears it treats the
-// request alike.
-func TestPeersAreTold(t *testing.T) {
+// New entries are sent to all peers at once, then re-sent to some. A peer that receives them
+// gives the request the same standing.
+func TestEntriesReachPeers(t *testing.T) {
 	a, b := newGuard(), newGuard()
 	ctx, cancel := context.WithCancel(context.Background())
-	words := make(recordingBroadcaster, 16)
+	broadcasts := make(recordingBroadcaster, 16)
 	done := make(chan error, 1)
-	go func() { done <- a.Run(ctx, words) }()
+	go func() { done <- a.Run(ctx, broadcasts) }()
 	a.crash(time.Now(), 3)
-	first := words.next(t)
+	first := broadcasts.next(t)
 	if first.maxPeers != membership.All || len(first.entries) != 1 {
-		t.Errorf("told first: %+v", first)
+		t.Errorf("first broadcast: %+v", first)
 	}
 	b.Heard("a", first.entries)
 	if got := b.Step(time.Now(), subject.Content, &quarantine.Waiting{}); got.Standing != quarantine.Suspect {
-		t.Errorf("a peer that heard holds it for %s", got.Standing)
+		t.Errorf("the peer has standing %s", got.Standing)
 	}
-	if again := words.next(t); again.maxPeers != repeatFanout {
-		t.Errorf("told again: %+v", again)
+	if again := broadcasts.next(t); again.maxPeers != repeatFanout {
+		t.Errorf("second broadcast: %+v", again)
 	}
 	cancel()
 	if err := <-done; err != nil {
@@ -80,12 +82,10 @@
 	}
 }
 
-// Symptom: a suspect that nobody tries waits for more than a second, and peers hear of a trial
-// that is not under way.
-// Sequence: its only attempt looks how the request stands, and then waits for its turn.
-// Cause: the first look began a trial, which the attempt then waited for. Here no time passes:
-// an attempt whose turn is now must not wait for anything.
-func TestALoneSuspectIsTriedInItsTurn(t *testing.T) {
+// Guards against an attempt that waits for its own trial: its first check starts a trial, which
+// is announced to peers, and the attempt then waits for over a second for the trial to end. The
+// clock stands still here, so an attempt with a delay of 0 must not wait.
+func TestOnlyAttemptOfSuspectIsTriedWithoutWait(t *testing.T) {
 	g := newGuard()
 	now := time.Now()
 	g.crash(now, 3)
@@ -99,16 +99,15 @@
 			t.Errorf("%+v", a)
 		}
 	case <-time.After(testTimeout):
-		t.Error("it waits for itself")
+		t.Error("the attempt waits for its own trial")
 	}
 }
 
-// Symptom: requests that many callers ask wait for up to two seconds, while upstreams end under
-// another one; a caller that leaves meanwhile leaves work behind.
-// Sequence: a request is answered again and again; upstreams end that have one of its
-// attempts each, and these have no answer. The next attempts wait for their turn to be tried.
-// Cause: what had just been answered became a suspect all the same.
-func TestWhatIsAnsweredAllTheTimeIsNotHeldUp(t *testing.T) {
+// Guards against delaying a request of many callers by up to two seconds when upstreams end
+// under another request: each of these upstreams also ran one attempt of the common request,
+// which became a suspect although it had just been answered. A caller that gave up during the
+// delay left work behind.
+func TestRecentlyAnsweredRequestDoesNotWait(t *testing.T) {
 	g := newGuard()
 	now := time.Now()
 	g.Survived(now, subject)
@@ -117,22 +116,22 @@
 	drawn := false
 	a := g.Admit(func() time.Time { return later }, func() float64 { drawn = true; return 0 }, subject)
 	if a.Standing != quarantine.Free || drawn {
-		t.Errorf("%+v, turn drawn %v", a, drawn)
+		t.Errorf("%+v, delay drawn: %v", a, drawn)
 	}
 }
 
-// An attempt of a suspect waits while another one tries it, and goes on as any other once
-// that was answered.
-func TestSuspectsWaitForATrial(t *testing.T) {
+// An attempt of a suspect waits during another attempt's trial and runs without restriction
+// once the trial is answered.
+func TestSuspectWaitsForTrial(t *testing.T) {
 	g := newGuard()
 	now := time.Now()
 	g.crash(now, 3)
-	first := func() float64 { return 0 }
-	if a := g.Admit(time.Now, first, subject); a.Standing != quarantine.Suspect || a.Held {
-		t.Fatalf("the trial: %+v", a)
+	noDelay := func() float64 { return 0 }
+	if a := g.Admit(time.Now, noDelay, subject); a.Standing != quarantine.Suspect || a.Held {
+		t.Fatalf("first attempt: %+v", a)
 	}
 	waiting := make(chan quarantine.Admission, 1)
-	go func() { waiting <- g.Admit(time.Now, first, subject) }()
+	go func() { waiting <- g.Admit(time.Now, noDelay, subject) }()
 	g.Survived(time.Now(), subject)
 	select {
 	case a := <-waiting:
@@ -140,6 +139,6 @@
 			t.Errorf("after an answer: %+v", a)
 		}
 	case <-time.After(testTimeout):
-		t.Error("it waits on")
+		t.Error("the attempt still waits after the answer")
 	}
 }
