--- a/internal/fingerprint/fingerprint.go
+++ b/internal/fingerprint/fingerprint.go
@@ -1,5 +1,5 @@
-// Package fingerprint tells requests of the same content from others. Every attempt of a
-// caller has an id of its own, so that the id does not show that the same is asked again.
+// Package fingerprint identifies requests by their content. Every attempt of a caller has its
+// own request id, so the id does not identify retries of the same request.
 package fingerprint
 
 import (
@@ -8,31 +8,31 @@
 	"encoding/hex"
 )
 
-// Fingerprint identifies a request by what an upstream is asked: method, host, target and
-// body. It is a part of a cryptographic hash: nobody can make a request that has the
-// fingerprint of another one's.
+// Fingerprint identifies the content of a request: method, host, target and body. It is a
+// truncated SHA-256 hash, so callers cannot construct a request with the fingerprint of another
+// one.
 type Fingerprint [16]byte
 
-// Of is the fingerprint of a request. The host is to be in its normal form; the target is
-// the path and the query, as sent.
+// Of returns the fingerprint of a request. host must be normalised; target is the path and the
+// query string as sent.
 func Of(method, host, target string, body []byte) Fingerprint {
 	h := sha256.New()
-	var text [textBuffer]byte
+	var text [headBufferSize]byte
 	buf := text[:0]
 	for _, field := range []string{method, host, target} {
-		// The length keeps the fields apart.
+		// The length prefix makes the field boundaries unambiguous.
 		buf = binary.BigEndian.AppendUint64(buf, uint64(len(field)))
 		buf = append(buf, field...)
 	}
-	// A hash never fails to write.
+	// Write of a hash never returns an error.
 	_, _ = h.Write(buf)
 	_, _ = h.Write(body)
 	var sum [sha256.Size]byte
 	return Fingerprint(h.Sum(sum[:0])[:len(Fingerprint{})])
 }
 
-// textBuffer holds method, host and target of a usual request.
-const textBuffer = 256
+// headBufferSize is enough for the method, host and target of a typical request, in bytes.
+const headBufferSize = 256
 
-// String is the fingerprint in logs, in hexadecimal.
+// String returns the fingerprint in hexadecimal, as used in logs.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
--- a/internal/fingerprint/fingerprint_test.go
+++ b/internal/fingerprint/fingerprint_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Requests that differ in any part an upstream sees have other fingerprints, also where the
-// parts joined together read the same.
+// Requests that differ in any field have different fingerprints, also if their concatenated
+// fields are equal.
 func TestOf(t *testing.T) {
 	seen := map[Fingerprint]bool{}
 	for _, c := range [][4]string{
@@ -12,16 +12,16 @@
 	} {
 		f := Of(c[0], c[1], c[2], []byte(c[3]))
 		if seen[f] {
-			t.Errorf("%q has the fingerprint of another one", c)
+			t.Errorf("%q has the fingerprint of another request", c)
 		}
 		seen[f] = true
 		if f != Of(c[0], c[1], c[2], []byte(c[3])) {
-			t.Errorf("%q has another one the next time", c)
+			t.Errorf("%q has a different fingerprint on the second call", c)
 		}
 	}
 }
 
-// What each request that is answered costs.
+// Measures the cost per answered request.
 func BenchmarkOf(b *testing.B) {
 	body := make([]byte, 200)
 	b.ReportAllocs()
--- a/internal/strain/strain.go
+++ b/internal/strain/strain.go
@@ -1,42 +1,42 @@
-// Package strain tells whether a process gets too little of its processor: by how
-// late it is woken. It is pure.
+// Package strain detects that a process gets too little CPU time, by the delay of its timer
+// wake-ups. It reads no clock: callers pass the time.
 //
-// A VM that has become slow still takes what callers send it; all of it waits for
-// the processor, upstreams' answers lie unread, and hedges add to the load. It
-// shows in no upstream's times. A process that knows it can tell its peers, so
-// that callers are sent elsewhere, and refuse at once what would be late.
+// A VM that has become slow still accepts requests. They all wait for the CPU, upstreams'
+// answers stay unread, and hedges add to the load, yet no upstream's latency shows it. A process
+// that detects the delay can report it to its peers, so that callers are routed elsewhere, and
+// can immediately refuse requests that it would answer too late.
 package strain
 
 import "time"
 
 const (
-	// Every is how often the process is to be woken for a measurement.
+	// Every is the interval of the wake-ups that a Meter observes.
 	Every = 50 * time.Millisecond
-	// late is the delay from which a waking counts as late. A healthy process is
-	// woken within a millisecond or two.
-	late = 8 * time.Millisecond
-	// window is how many wakings are looked at: a second in a healthy process,
-	// more in one that stalls.
+	// lateThreshold is the delay from which a wake-up counts as late. A healthy process wakes
+	// within a millisecond or two.
+	lateThreshold = 8 * time.Millisecond
+	// window is the number of latest wake-ups considered: those of one second in a healthy
+	// process, and of a longer time in one that stalls.
 	window = 20
-	// high and low are how many of them are late when strain begins and ends. A
-	// pause, however long, is one; a quota that is used up now and then makes
-	// fewer late than these.
-	high = 6
-	low  = 1
+	// Strain starts at startCount late wake-ups in the window and ends at endCount. A pause of
+	// any length is a single late wake-up. A CPU quota that is exhausted now and then causes
+	// fewer than startCount.
+	startCount = 6
+	endCount   = 1
 )
 
 // Meter measures one process. It is not safe for concurrent use.
 type Meter struct {
 	last time.Time
-	// delays is a ring of the latest wakings' delays.
-	delays   [window]time.Duration
-	next     int
-	late     int
-	strained bool
+	// delays is a ring buffer of the latest wake-ups' delays.
+	delays    [window]time.Duration
+	next      int
+	lateCount int
+	strained  bool
 }
 
-// Woken takes in that the process was woken, Every after the time before; true
-// when Strained has changed.
+// Woken records a wake-up scheduled Every after the previous one. It reports whether the value
+// of Strained has changed.
 func (m *Meter) Woken(now time.Time) bool {
 	last := m.last
 	m.last = now
@@ -46,27 +46,27 @@
 	m.add(max(now.Sub(last)-Every, 0))
 	was := m.strained
 	switch {
-	case m.late >= high:
+	case m.lateCount >= startCount:
 		m.strained = true
-	case m.late <= low:
+	case m.lateCount <= endCount:
 		m.strained = false
 	}
 	return m.strained != was
 }
 
 func (m *Meter) add(delay time.Duration) {
-	if m.delays[m.next] >= late {
-		m.late--
+	if m.delays[m.next] >= lateThreshold {
+		m.lateCount--
 	}
-	if delay >= late {
-		m.late++
+	if delay >= lateThreshold {
+		m.lateCount++
 	}
 	m.delays[m.next] = delay
 	m.next = (m.next + 1) % window
 }
 
-// Lag is the mean delay of the latest wakings while the process is strained, else
-// 0: a healthy process has none to speak of.
+// Lag returns the mean delay of the latest wake-ups while the process is strained, else 0: the
+// delays of a healthy process are negligible.
 func (m *Meter) Lag() time.Duration {
 	if !m.strained {
 		return 0
@@ -78,5 +78,5 @@
 	return total / window
 }
 
-// Strained tells whether the process has too little of its processor.
+// Strained reports whether the process gets too little CPU time.
 func (m *Meter) Strained() bool { return m.strained }
--- a/internal/strain/strain_test.go
+++ b/internal/strain/strain_test.go
@@ -5,59 +5,58 @@
 	"time"
 )
 
-// wake wakes a meter n times, each so late.
-func wake(m *Meter, now *time.Time, n int, late time.Duration) {
+// wakeLate records n wake-ups, each delayed by late.
+func wakeLate(m *Meter, now *time.Time, n int, late time.Duration) {
 	for range n {
 		*now = now.Add(Every + late)
 		m.Woken(*now)
 	}
 }
 
-// Symptom: a VM that runs five times slower holds all of its callers up.
-// Sequence: it stalls for up to a second at a time and is woken quickly in
-// between.
-// Cause: the mean delay was small, as each stall is one waking.
-func TestStallsAreStrain(t *testing.T) {
+// Guards against a VM that runs five times slower and delays all of its callers undetected: it
+// stalls for up to a second at a time and wakes on time in between. Each stall is a single late
+// wake-up, so the mean delay stays small.
+func TestStallsAreDetected(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var m Meter
-	wake(&m, &now, 100, 3*time.Millisecond)
+	wakeLate(&m, &now, 100, 3*time.Millisecond)
 	if m.Strained() || m.Lag() != 0 {
-		t.Fatal("a healthy process")
+		t.Fatal("healthy process is strained")
 	}
 	for range 3 {
-		wake(&m, &now, 1, 10*time.Second)
+		wakeLate(&m, &now, 1, 10*time.Second)
 	}
 	if m.Strained() {
-		t.Error("three pauses")
+		t.Error("strained after three pauses")
 	}
-	wake(&m, &now, 40, 3*time.Millisecond)
+	wakeLate(&m, &now, 40, 3*time.Millisecond)
 	for range 8 {
-		wake(&m, &now, 2, 300*time.Millisecond)
-		wake(&m, &now, 2, 0)
+		wakeLate(&m, &now, 2, 300*time.Millisecond)
+		wakeLate(&m, &now, 2, 0)
 	}
 	if !m.Strained() || m.Lag() < 50*time.Millisecond {
-		t.Errorf("stalls: lag %v", m.Lag())
+		t.Errorf("stalls are not detected: lag %v", m.Lag())
 	}
-	wake(&m, &now, 5, 3*time.Millisecond)
+	wakeLate(&m, &now, 5, 3*time.Millisecond)
 	if !m.Strained() {
-		t.Error("ended at once")
+		t.Error("strain ended too early")
 	}
-	wake(&m, &now, 40, 3*time.Millisecond)
+	wakeLate(&m, &now, 40, 3*time.Millisecond)
 	if m.Strained() {
-		t.Error("two seconds after it is over")
+		t.Error("still strained two seconds after the stalls")
 	}
 }
 
-// A quota that is used up leaves the process without time for the rest of each
-// tenth of a second now and then; the mean stays below the bound.
-func TestAQuotaThatIsUsedUpAtTimesIsNoStrain(t *testing.T) {
+// A CPU quota that is exhausted now and then stops the process for the rest of a 0.1 s period.
+// The number of late wake-ups stays below the threshold.
+func TestOccasionalQuotaExhaustionIsNotStrain(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var m Meter
 	for range 50 {
-		wake(&m, &now, 1, 60*time.Millisecond)
-		wake(&m, &now, 3, 2*time.Millisecond)
+		wakeLate(&m, &now, 1, 60*time.Millisecond)
+		wakeLate(&m, &now, 3, 2*time.Millisecond)
 	}
 	if m.Strained() {
-		t.Errorf("lag %v", m.Lag())
+		t.Errorf("strained: lag %v", m.Lag())
 	}
 }
