--- a/internal/refusal/refusal.go
+++ b/internal/refusal/refusal.go
@@ -1,5 +1,5 @@
-// Package refusal is the typed error of the request path. It always says
-// whether the request ran, so that a caller knows what is safe to send again.
+// Package refusal provides the error type of the request path. Each error states whether the
+// request ran, so that a caller knows whether a retry is safe.
 package refusal
 
 import (
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Reason names why a request got no answer.
+// Reason identifies why a request was refused or failed.
 type Reason string
 
-// Reasons, one for each way a request is turned away or fails.
+// Reasons.
 const (
 	BadRequest       Reason = "bad_request"
 	NotFound         Reason = "not_found"
@@ -43,7 +43,7 @@
 	SuspectHeld      Reason = "suspect_held"
 )
 
-// All is every reason, for metrics and the pages.
+// All lists every reason, for metrics and the documentation.
 var All = []Reason{
 	BadRequest, NotFound, MethodNotAllowed, BodyTooLarge, HeaderTooLarge,
 	RequestTimeout, Unauthenticated, UnknownKind, UnknownService,
@@ -54,40 +54,41 @@
 	PoisonRequest, SuspectHeld,
 }
 
-// Ran says whether a refused request ran anywhere.
+// Ran states whether any upstream ran a refused request.
 type Ran string
 
 const (
-	// NotRun is proof: no upstream ran any part of the request.
+	// NotRun means that provably no upstream ran any part of the request.
 	NotRun Ran = "not_run"
-	// Unknown means that some part may have run.
+	// Unknown means that upstreams may have run parts of the request.
 	Unknown Ran = "unknown"
 	// DidRun means that upstreams ran parts of the request.
 	DidRun Ran = "ran"
 )
 
-// Error is a refusal.
+// Error is the refusal or failure of a request.
 type Error struct {
 	Reason Reason
 	Ran    Ran
-	// RetryAfter is when to come back; 0 means that coming back will not help.
+	// RetryAfter is how long the caller should wait before a retry; 0 means that a retry does
+	// not help.
 	RetryAfter time.Duration
 	Detail     string
 }
 
-// New makes a refusal of a request that did not run.
+// New returns the refusal of a request that did not run.
 func New(reason Reason, detail string) *Error {
 	return &Error{Reason: reason, Ran: NotRun, Detail: detail}
 }
 
-// After sets when the caller should come back.
+// After sets RetryAfter and returns e.
 func (e *Error) After(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
 
-// Unproven withdraws the claim that the request did not run: this copy of it did
-// not, but nobody has looked for others.
+// Unproven changes NotRun to Unknown and returns e. It is for refusals made without a check for
+// other attempts of the request: this attempt did not run, but another may have.
 func (e *Error) Unproven() *Error {
 	if e.Ran == NotRun {
 		e.Ran = Unknown
@@ -95,13 +96,13 @@
 	return e
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *Error) Error() string {
 	return string(e.Reason) + " (" + string(e.Ran) + "): " + e.Detail
 }
 
-// From finds the refusal in an error chain; anything else becomes a refusal
-// whose outcome is unknown.
+// From returns the *Error in err's chain. If there is none, it returns an UpstreamFailed error
+// with outcome Unknown and err's text as detail.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -110,7 +111,7 @@
 	return &Error{Reason: UpstreamFailed, Ran: Unknown, Detail: err.Error()}
 }
 
-// Status is the HTTP status that goes with the reason.
+// Status returns the HTTP status code of the reason.
 func (r Reason) Status() int {
 	switch r {
 	case BadRequest, ForeignOperation, OperationExpired:
