--- a/internal/poison/broadcast.go
+++ b/internal/poison/broadcast.go
@@ -10,42 +10,45 @@
 )
 
 const (
-	// tellGap is the least time between two words to all peers. The first one goes out at
-	// once; in a storm of crashes one to 300 VMs is at most some megabytes a second.
-	tellGap = 100 * time.Millisecond
-	// repeatEvery is how often peers are told again what they may have missed, repeatPeers
-	// how many: over the fleet each VM hears it about as often.
-	repeatEvery = time.Second
-	repeatPeers = 2
+	// minBroadcastGap is the minimum time between two broadcasts to all peers. The first is sent
+	// at once. During many crashes, broadcasts to 300 VMs take at most a few megabytes per
+	// second.
+	minBroadcastGap = 100 * time.Millisecond
+	// repeatInterval is how often entries are re-sent, repeatFanout to how many random peers.
+	// Over the fleet, each VM receives repeats about as often as it sends them.
+	repeatInterval = time.Second
+	repeatFanout   = 2
 )
 
-// Broadcaster sends entries to so many members, or to membership.All.
+// Broadcaster sends entries to up to maxPeers random members, or to all if maxPeers is
+// membership.All.
 type Broadcaster interface {
-	Broadcast(entries []*pb.QuarantineEntry, most int)
+	Broadcast(entries []*pb.QuarantineEntry, maxPeers int)
 }
 
-// Run tells peers what is known until ctx ends: all of them at once what is new, as the
-// caller may come to any VM next, and some of them each second what they may have missed.
+// Run shares entries with peers until ctx ends. New entries go to all peers at once, as a caller
+// may retry at any VM. Each second, earlier entries go to some peers that may have missed them.
 func (g *Guard) Run(ctx context.Context, to Broadcaster) error {
-	t := time.NewTicker(repeatEvery)
+	t := time.NewTicker(repeatInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-g.Changed():
-			g.tellNews(ctx, to)
+		case <-g.Pending():
+			g.broadcastPending(ctx, to)
 		case now := <-t.C:
 			g.Expire(now)
 			g.signal()
 			if entries := g.Repeat(now); len(entries) > 0 {
-				to.Broadcast(quarantine.Encode(entries), repeatPeers)
+				to.Broadcast(quarantine.Encode(entries), repeatFanout)
 			}
 		}
 	}
 }
 
-func (g *Guard) tellNews(ctx context.Context, to Broadcaster) {
+// broadcastPending sends all pending entries to all peers, one datagram per minBroadcastGap.
+func (g *Guard) broadcastPending(ctx context.Context, to Broadcaster) {
 	for more := true; more && ctx.Err() == nil; {
 		var entries []quarantine.Entry
 		entries, more = g.News(time.Now())
@@ -53,11 +56,11 @@
 			return
 		}
 		to.Broadcast(quarantine.Encode(entries), membership.All)
-		time.Sleep(tellGap)
+		time.Sleep(minBroadcastGap)
 	}
 }
 
-// Heard takes in entries as a peer sent them.
+// Heard merges entries received from a peer. It drops and counts invalid ones.
 func (g *Guard) Heard(peer string, entries []*pb.QuarantineEntry) {
 	good, dropped := quarantine.Decode(entries)
 	g.Learn(time.Now(), peer, good, dropped)
--- a/internal/poison/guard_test.go
+++ b/internal/poison/guard_test.go
@@ -15,77 +15,77 @@
 	"sycamorekeel.example/sycamorekeel/internal/quarantine"
 )
 
-// patience bounds what a test waits for; no test passes by it running out.
-const patience = 10 * time.Second
+// testTimeout limits the waits of a test. A test that reaches it fails.
+const testTimeout = 10 * time.Second
 
 var subject = Subject{Content: fingerprint.Of("GET", "h", "/", nil)}
 
 func newGuard() *Guard { return New(logring.Nop(), NewMetrics(prometheus.NewRegistry())) }
 
-// crash ends so many upstreams under the subject, all in one moment.
+// crash records simultaneous crashes of several upstreams under subject.
 func (g *Guard) crash(now time.Time, upstreams uint32) {
 	for u := range upstreams {
 		g.Crashed(now, subject, quarantine.Crash{Start: u, SentAt: now.Add(-time.Second), EndedAt: now})
 	}
 }
 
-// told is what a guard tells, and to how many.
-type told struct {
-	entries []*pb.QuarantineEntry
-	most    int
+// broadcast holds the arguments of one call of Broadcast.
+type broadcast struct {
+	entries  []*pb.QuarantineEntry
+	maxPeers int
 }
 
-type teller chan told
+type recordingBroadcaster chan broadcast
 
-func (t teller) Broadcast(entries []*pb.QuarantineEntry, most int) { t <- told{entries, most} }
+func (r recordingBroadcaster) Broadcast(entries []*pb.QuarantineEntry, maxPeers int) {
+	r <- broadcast{entries, maxPeers}
+}
 
-func (t teller) next(test *testing.T) told {
-	test.Helper()
+func (r recordingBroadcaster) next(t *testing.T) broadcast {
+	t.Helper()
 	select {
-	case w := <-t:
-		return w
-	case <-time.After(patience):
-		test.Fatal("nothing is told")
-		return told{}
+	case b := <-r:
+		return b
+	case <-time.After(testTimeout):
+		t.Fatal("no broadcast")
+		return broadcast{}
 	}
 }
 
-// What is new goes to all peers at once, and to some again; a peer that hears it treats the
-// request alike.
-func TestPeersAreTold(t *testing.T) {
+// New entries are sent to all peers at once, then re-sent to some. A peer that receives them
+// gives the request the same standing.
+func TestEntriesReachPeers(t *testing.T) {
 	a, b := newGuard(), newGuard()
 	ctx, cancel := context.WithCancel(context.Background())
-	words := make(teller, 16)
+	broadcasts := make(recordingBroadcaster, 16)
 	done := make(chan error, 1)
-	go func() { done <- a.Run(ctx, words) }()
+	go func() { done <- a.Run(ctx, broadcasts) }()
 	a.crash(time.Now(), 3)
-	first := words.next(t)
-	if first.most != membership.All || len(first.entries) != 1 {
-		t.Errorf("told first: %+v", first)
+	first := broadcasts.next(t)
+	if first.maxPeers != membership.All || len(first.entries) != 1 {
+		t.Errorf("first broadcast: %+v", first)
 	}
 	b.Heard("a", first.entries)
 	if got := b.Step(time.Now(), subject.Content, &quarantine.Waiting{}); got.Standing != quarantine.Suspect {
-		t.Errorf("a peer that heard holds it for %s", got.Standing)
+		t.Errorf("the peer has standing %s", got.Standing)
 	}
-	if again := words.next(t); again.most != repeatPeers {
-		t.Errorf("told again: %+v", again)
+	if again := broadcasts.next(t); again.maxPeers != repeatFanout {
+		t.Errorf("second broadcast: %+v", again)
 	}
 	cancel()
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 	b.Heard("a", []*pb.QuarantineEntry{{}})
-	if n := testutil.ToFloat64(b.met.dropped); n != 1 {
+	if n := testutil.ToFloat64(b.metrics.droppedEntries); n != 1 {
 		t.Errorf("%v entries dropped", n)
 	}
 }
 
-// Symptom: a suspect that nobody tries waits for more than a second, and peers hear of a trial
-// that is not under way.
-// Sequence: its only attempt looks how the request stands, and then waits for its turn.
-// Cause: the first look began a trial, which the attempt then waited for. Here no time passes:
-// an attempt whose turn is now must not wait for anything.
-func TestALoneSuspectIsTriedInItsTurn(t *testing.T) {
+// Guards against an attempt that waits for its own trial: its first check starts a trial, which
+// is announced to peers, and the attempt then waits for over a second for the trial to end. The
+// clock stands still here, so an attempt with a delay of 0 must not wait.
+func TestOnlyAttemptOfSuspectIsTriedWithoutWait(t *testing.T) {
 	g := newGuard()
 	now := time.Now()
 	g.crash(now, 3)
@@ -98,17 +98,16 @@
 		if a.Standing != quarantine.Suspect || a.Held {
 			t.Errorf("%+v", a)
 		}
-	case <-time.After(patience):
-		t.Error("it waits for itself")
+	case <-time.After(testTimeout):
+		t.Error("the attempt waits for its own trial")
 	}
 }
 
-// Symptom: requests that many callers ask wait for up to two seconds, while upstreams end under
-// another one; a caller that leaves meanwhile leaves work behind.
-// Sequence: a request is answered again and again; upstreams end that have one of its
-// attempts each, and these have no answer. The next attempts wait for their turn to be tried.
-// Cause: what had just been answered became a suspect all the same.
-func TestWhatIsAnsweredAllTheTimeIsNotHeldUp(t *testing.T) {
+// Guards against delaying a request of many callers by up to two seconds when upstreams end
+// under another request: each of these upstreams also ran one attempt of the common request,
+// which became a suspect although it had just been answered. A caller that gave up during the
+// delay left work behind.
+func TestRecentlyAnsweredRequestDoesNotWait(t *testing.T) {
 	g := newGuard()
 	now := time.Now()
 	g.Survived(now, subject)
@@ -117,29 +116,29 @@
 	drawn := false
 	a := g.Admit(func() time.Time { return later }, func() float64 { drawn = true; return 0 }, subject)
 	if a.Standing != quarantine.Free || drawn {
-		t.Errorf("%+v, turn drawn %v", a, drawn)
+		t.Errorf("%+v, delay drawn: %v", a, drawn)
 	}
 }
 
-// An attempt of a suspect waits while another one tries it, and goes on as any other once
-// that was answered.
-func TestSuspectsWaitForATrial(t *testing.T) {
+// An attempt of a suspect waits during another attempt's trial and runs without restriction
+// once the trial is answered.
+func TestSuspectWaitsForTrial(t *testing.T) {
 	g := newGuard()
 	now := time.Now()
 	g.crash(now, 3)
-	first := func() float64 { return 0 }
-	if a := g.Admit(time.Now, first, subject); a.Standing != quarantine.Suspect || a.Held {
-		t.Fatalf("the trial: %+v", a)
+	noDelay := func() float64 { return 0 }
+	if a := g.Admit(time.Now, noDelay, subject); a.Standing != quarantine.Suspect || a.Held {
+		t.Fatalf("first attempt: %+v", a)
 	}
 	waiting := make(chan quarantine.Admission, 1)
-	go func() { waiting <- g.Admit(time.Now, first, subject) }()
+	go func() { waiting <- g.Admit(time.Now, noDelay, subject) }()
 	g.Survived(time.Now(), subject)
 	select {
 	case a := <-waiting:
 		if a.Standing != quarantine.Free {
 			t.Errorf("after an answer: %+v", a)
 		}
-	case <-time.After(patience):
-		t.Error("it waits on")
+	case <-time.After(testTimeout):
+		t.Error("the attempt still waits after the answer")
 	}
 }
