--- a/internal/pagepack/pagepack_test.go
+++ b/internal/pagepack/pagepack_test.go
@@ -13,9 +13,10 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// document is a configuration with some routes, as operators write it. Successive
-// versions differ in the version, at the front, and in one route.
-func document(routes, version int) []byte {
+// testDocument returns a configuration with the given number of routes, as operators
+// write it. Successive versions differ in the version number, at the front, and in one
+// route.
+func testDocument(routes, version int) []byte {
 	random := rand.New(rand.NewPCG(1, 1))
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"version":%d,"routes":[`, version)
@@ -31,19 +32,19 @@
 	return []byte(b.String())
 }
 
-// held is a document that both sides hold.
-func held(text []byte) catalog.Document {
+// newDocument returns the Document of a text, to be used as a base.
+func newDocument(text []byte) catalog.Document {
 	return catalog.Document{Sum: xxhash.Sum64(text), Text: text}
 }
 
-func pageOf(document []byte) *pb.CatalogPage {
+func newPage(document []byte) *pb.CatalogPage {
 	return &pb.CatalogPage{Revision: 9, After: 8, Items: []*pb.CatalogItem{{Key: "c", Value: document, Revision: 9}}}
 }
 
 func TestPackAndUnpack(t *testing.T) {
-	former := held(document(1100, 10))
-	next := pageOf(document(1100, 500))
-	for name, base := range map[string]catalog.Document{"against a base": former, "without": {}} {
+	previous := newDocument(testDocument(1100, 10))
+	next := newPage(testDocument(1100, 500))
+	for name, base := range map[string]catalog.Document{"against a base": previous, "without": {}} {
 		body, err := Pack(next, base)
 		if err != nil {
 			t.Fatal(err)
@@ -55,65 +56,65 @@
 	}
 }
 
-// One change of a large document travels as what changed.
+// A single change of a large document is sent as a small difference.
 func TestAChangeIsSmall(t *testing.T) {
-	body, err := Pack(pageOf(document(1100, 500)), held(document(1100, 10)))
+	body, err := Pack(newPage(testDocument(1100, 500)), newDocument(testDocument(1100, 10)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(body) > 500 {
-		t.Errorf("one route of 1,100 takes %d bytes", len(body))
+		t.Errorf("a change of one route of 1,100 takes %d bytes", len(body))
 	}
 }
 
-// Each row is a body that must be told as broken and never taken for a page.
+// Each row is a body that must be rejected with an error.
 func TestBrokenBodies(t *testing.T) {
-	former := held(document(300, 10))
-	body, err := Pack(pageOf(document(300, 12)), former)
+	base := newDocument(testDocument(300, 10))
+	body, err := Pack(newPage(testDocument(300, 12)), base)
 	if err != nil {
 		t.Fatal(err)
 	}
 	flipped := append([]byte(nil), body...)
 	flipped[len(flipped)/2] ^= 0x40
-	other := catalog.Document{Sum: former.Sum, Text: document(300, 11)}
+	other := catalog.Document{Sum: base.Sum, Text: testDocument(300, 11)}
 	for name, c := range map[string]struct {
 		body []byte
 		base catalog.Document
 	}{
-		"cut short":                         {body[:len(body)-3], former},
-		"one bit turned":                    {flipped, former},
-		"no base":                           {body, catalog.Document{}},
-		"another base":                      {body, held(document(300, 11))},
-		"another document of the same name": {body, other},
-		"empty":                             {nil, former},
-		"not packed":                        {[]byte("plain"), former},
+		"cut short":                           {body[:len(body)-3], base},
+		"one bit flipped":                     {flipped, base},
+		"no base":                             {body, catalog.Document{}},
+		"another base":                        {body, newDocument(testDocument(300, 11))},
+		"another document with the same hash": {body, other},
+		"empty":                               {nil, base},
+		"not packed":                          {[]byte("plain"), base},
 	} {
 		if _, err := Unpack(c.body, c.base); err == nil {
-			t.Errorf("%s: taken for a page", name)
+			t.Errorf("%s: Unpack succeeded", name)
 		}
 	}
 }
 
 func FuzzUnpack(f *testing.F) {
-	former := held(document(20, 1))
-	body, err := Pack(pageOf(document(20, 2)), former)
+	base := newDocument(testDocument(20, 1))
+	body, err := Pack(newPage(testDocument(20, 2)), base)
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(body)
 	f.Add(body[:len(body)/2])
 	f.Fuzz(func(t *testing.T, body []byte) {
-		page, err := Unpack(body, former)
+		page, err := Unpack(body, base)
 		if err == nil && page == nil {
-			t.Error("neither a page nor an error")
+			t.Error("Unpack returned neither a page nor an error")
 		}
 	})
 }
 
 func BenchmarkPack(b *testing.B) {
 	for _, routes := range []int{100, 1100, 6000} {
-		former, page := held(document(routes, 10)), pageOf(document(routes, 11))
-		for name, base := range map[string]catalog.Document{"whole": {}, "change": former} {
+		previous, page := newDocument(testDocument(routes, 10)), newPage(testDocument(routes, 11))
+		for name, base := range map[string]catalog.Document{"whole": {}, "change": previous} {
 			b.Run(fmt.Sprintf("%d routes, %s", routes, name), func(b *testing.B) {
 				b.ReportAllocs()
 				size := 0
@@ -132,14 +133,14 @@
 }
 
 func BenchmarkUnpack(b *testing.B) {
-	former := held(document(1100, 10))
-	body, err := Pack(pageOf(document(1100, 11)), former)
+	base := newDocument(testDocument(1100, 10))
+	body, err := Pack(newPage(testDocument(1100, 11)), base)
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := Unpack(body, former); err != nil {
+		if _, err := Unpack(body, base); err != nil {
 			b.Fatal(err)
 		}
 	}
