--- a/internal/node/join.go
+++ b/internal/node/join.go
@@ -24,103 +24,108 @@
 )
 
 const (
-	// joinTimeout gives up a seed that does not answer: two round trips between
-	// regions (54 ms) and the seed's own work. After the loss of all VMs no seed
-	// answers, and none is ready before this has passed: with 0.2 s the share of
-	// requests that nobody serves was an eighth higher on days with such a loss.
+	// joinTimeout limits the first request to a seed: two round trips between regions
+	// (54 ms) and the seed's processing time. After the loss of all VMs no seed
+	// answers, and no VM becomes ready before joinTimeout has passed; with 0.2 s, an
+	// eighth more requests went unserved on days with such a loss.
 	joinTimeout = 80 * time.Millisecond
-	// moreTimeout is the same for later questions, on whose answer nothing waits: a weak
-	// seed that a whole region asks at once takes some tenths of a second.
-	moreTimeout = 400 * time.Millisecond
-	// listAge is how long a packed list is given to all who ask. When hundreds of VMs
-	// start together a seed is asked by all of them at once, and packing a list of 300
-	// takes a weak VM milliseconds.
-	listAge = 100 * time.Millisecond
-	// argRegion is the region of the asker. A VM of another region gives it only what it
-	// says of itself, unless argWhole asks for all: the lists of a fleet that starts would
-	// else be most of what crosses between regions.
-	argRegion = "region"
-	argWhole  = "whole"
-	// crashingMost is how many requests that crash upstreams a VM that starts is told of,
-	// those that are blocked first.
-	crashingMost = 128
+	// refreshTimeout limits later requests, which delay nothing: a slow seed that a
+	// whole region queries at once takes several tenths of a second.
+	refreshTimeout = 400 * time.Millisecond
+	// memberListTTL is how long a packed member list is reused for all requesters. When
+	// hundreds of VMs start together, all of them query a seed at once, and packing a
+	// list of 300 members takes a slow VM several milliseconds.
+	memberListTTL = 100 * time.Millisecond
+	// argRegion is the requester's region. A VM in another region returns only its own
+	// entry unless argAllMembers is set; otherwise the member lists of a starting fleet
+	// would make up most of the traffic between regions.
+	argRegion     = "region"
+	argAllMembers = "whole"
+	// maxQuarantineEntries limits the entries on requests that crash upstreams in an
+	// answer to a joining VM. Blocked requests come first.
+	maxQuarantineEntries = 128
 )
 
-// joinWaits are the pauses before each further question, while VMs that start at the same
-// moment become known. Whoever asks is known to the seeds from then on, so that a later
-// answer has all of them.
-var joinWaits = []time.Duration{400 * time.Millisecond, 700 * time.Millisecond, 1500 * time.Millisecond}
-
-// join asks for what others hold of the fleet: all seeds at the start, then a few times the
-// nearest seed. Left to datagrams, a process that starts in a large fleet
-// would take seconds to know it, and meanwhile send callers to the wrong VMs and take too
-// large a part of what the VMs share. Seeds ask each other for all they know, so that
-// nobody else has to ask in another region: in the model of
-// package membership 295 VMs that start together know each other after 1.6 s in place of
-// 3.2 s, and lists of 0.4 MB cross between regions in place of 9, not packed.
-func (n *Node) join(ctx context.Context) error {
-	seeds := otherSeeds(n.set.Load())
-	if !n.reader.askSeeds(seeds, false) {
-		n.reader.step((*follow.Follower).Alone)
-	}
-	for _, wait := range joinWaits {
+// refreshDelays are the pauses before the member list is fetched again. A request also
+// introduces its sender to the seed, so later answers include all VMs that started at
+// the same time.
+var refreshDelays = []time.Duration{400 * time.Millisecond, 700 * time.Millisecond, 1500 * time.Millisecond}
+
+// join fetches the member list from all seeds at the start and then a few times from
+// the nearest seed. Through datagrams alone, a process that starts in a large fleet
+// would need seconds to discover it. Until then it would send callers to the wrong VMs
+// and take too large a share of the fleet-wide limits.
+//
+// Seeds fetch complete lists from each other, so that no other VM has to fetch one from
+// another region. In the simulation in package membership, 295 VMs that start together
+// then discover each other after 1.6 s instead of 3.2 s, and the lists that cross
+// between regions take 0.4 MB instead of 9 MB, uncompressed.
+func (d *Daemon) join(ctx context.Context) error {
+	seeds := otherSeeds(d.settings.Load())
+	if !d.syncer.querySeeds(seeds, false) {
+		d.syncer.step((*follow.Follower).Alone)
+	}
+	for _, wait := range refreshDelays {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-time.After(wait):
 		}
-		n.joinMore(seeds)
+		d.refreshMembers(seeds)
 	}
 	return nil
 }
 
-// joinMore asks once more: a seed all the others, anybody else the nearest seed, or a VM
-// nearby when no seed is known to be alive.
-func (n *Node) joinMore(seeds []string) {
-	if n.isSeed() {
-		n.reader.askSeeds(seeds, true)
+// refreshMembers fetches the member list again. A seed queries all other seeds; any
+// other VM queries the nearest seed, or a nearby VM if no seed is known to be alive.
+func (d *Daemon) refreshMembers(seeds []string) {
+	if d.isSeed() {
+		d.syncer.querySeeds(seeds, true)
 		return
 	}
-	view := n.members.Load()
-	address := nearestSeed(view, n.place(), seeds)
+	view := d.members.Load()
+	address := nearestSeed(view, d.place(), seeds)
 	if address == "" {
-		address = anyNearby(view, n.place(), n.set.Load().VM)
+		address = nearestOther(view, d.place(), d.settings.Load().VM)
 	}
 	if address != "" {
-		n.reader.askMembers(address, true)
+		d.syncer.queryMembers(address, true)
 	}
 }
 
-// isSeed tells whether the others know this VM's address from the start.
-func (n *Node) isSeed() bool {
-	set := n.set.Load()
+// isSeed reports whether this VM is one of the configured seeds.
+func (d *Daemon) isSeed() bool {
+	set := d.settings.Load()
 	return slices.Contains(set.Seeds, set.PeerAddress)
 }
 
-// nearestSeed is the seed that is nearest of those alive, empty when none is known to be;
-// of several as near, any.
+// nearestSeed returns the address of the nearest live seed, chosen at random among
+// equally near ones, or "" if no seed is known to be alive.
 func nearestSeed(view *membership.View, place locality.Place, seeds []string) string {
-	return nearest(view, place, func(m *membership.Member) bool { return slices.Contains(seeds, m.PeerAddress) })
+	return pickNearest(view, place, func(m *membership.Member) bool { return slices.Contains(seeds, m.PeerAddress) })
 }
 
-// anyNearby is one of the nearest VMs alive, empty when none is known.
-func anyNearby(view *membership.View, place locality.Place, self string) string {
-	return nearest(view, place, func(m *membership.Member) bool { return m.VM != self })
+// nearestOther returns the address of a random one of the nearest live VMs other than
+// self, or "" if none is known.
+func nearestOther(view *membership.View, place locality.Place, self string) string {
+	return pickNearest(view, place, func(m *membership.Member) bool { return m.VM != self })
 }
 
-func nearest(view *membership.View, place locality.Place, ok func(*membership.Member) bool) string {
-	least := locality.Unknown
+// pickNearest returns the address of a random one of the nearest live members that
+// match, or "" if there is none.
+func pickNearest(view *membership.View, place locality.Place, match func(*membership.Member) bool) string {
+	shortest := locality.Unknown
 	var addresses []string
 	for i := range view.Members {
 		m := &view.Members[i]
-		if !m.Serves() || !ok(m) {
+		if !m.Serves() || !match(m) {
 			continue
 		}
 		d := place.Within(m.Region, m.DataCentre)
-		if d < least {
-			least, addresses = d, nil
+		if d < shortest {
+			shortest, addresses = d, nil
 		}
-		if d == least {
+		if d == shortest {
 			addresses = append(addresses, m.PeerAddress)
 		}
 	}
@@ -130,119 +135,124 @@
 	return addresses[rand.IntN(len(addresses))]
 }
 
-// askSeeds asks all seeds at once and tells whether one knows a configuration.
-func (r *reader) askSeeds(seeds []string, whole bool) bool {
+// querySeeds queries all seeds concurrently and reports whether any of them has a
+// configuration.
+func (s *catalogSyncer) querySeeds(seeds []string, allMembers bool) bool {
 	var known atomic.Bool
 	var group errgroup.Group
 	for _, seed := range seeds {
 		group.Go(func() error {
-			if r.askMembers(seed, whole) > 0 {
+			if s.queryMembers(seed, allMembers) > 0 {
 				known.Store(true)
 			}
 			return nil
 		})
 	}
-	// The questions end by themselves and give no error.
+	// Each request ends at its timeout, and the functions return no error.
 	_ = group.Wait()
 	return known.Load()
 }
 
-// askMembers asks a VM for what it holds of the fleet and gives its revision, 0 when it
-// does not answer.
-func (r *reader) askMembers(address string, whole bool) uint64 {
-	page, err := r.fetchMembers(address, whole)
+// queryMembers fetches the member list of the VM at address and applies it. It returns
+// the VM's catalog revision, or 0 if the request fails.
+func (s *catalogSyncer) queryMembers(address string, allMembers bool) uint64 {
+	page, err := s.fetchMembers(address, allMembers)
 	if err != nil {
-		r.log.Info("peer: join failed", zap.String("peer", address), zap.Error(err))
+		s.log.Info("peer: join failed", zap.String("peer", address), zap.Error(err))
 		return 0
 	}
-	r.learn(page.Members)
-	r.poison.Heard(address, page.Quarantine)
+	s.learnMembers(page.Members)
+	s.poison.Heard(address, page.Quarantine)
 	for _, m := range page.Members {
 		if m.PeerAddress == address && page.Revision > 0 {
-			r.heard(m, catalog.Position{Era: page.Era, Revision: page.Revision}, follow.Unconfirmed)
+			s.onPeerPosition(m, catalog.Position{Era: page.Era, Revision: page.Revision}, follow.Unconfirmed)
 		}
 	}
 	return page.Revision
 }
 
-// fetchMembers asks a VM for what it holds of the fleet, and tells it of this one.
-func (r *reader) fetchMembers(address string, whole bool) (*pb.CatalogPage, error) {
-	self := r.self()
+// fetchMembers requests the member list of the VM at address and sends this VM's own
+// entry along.
+func (s *catalogSyncer) fetchMembers(address string, allMembers bool) (*pb.CatalogPage, error) {
+	self := s.self()
 	body, err := proto.Marshal(self)
 	if err != nil {
 		return nil, err
 	}
-	req := question(address, membersPath)
+	req := newPeerRequest(address, membersPath)
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.SetBody(body)
 	args := req.URI().QueryArgs()
 	args.Set(argPacked, "1")
 	args.Set(argRegion, self.Region)
-	if whole {
-		args.Set(argWhole, "1")
+	if allMembers {
+		args.Set(argAllMembers, "1")
 	}
 	timeout := joinTimeout
-	if whole {
-		timeout = moreTimeout
+	if allMembers {
+		timeout = refreshTimeout
 	}
-	return r.fetch(req, traffic.Members, follow.Pull{Address: address, Stall: timeout, Timeout: timeout}, catalog.Document{})
+	return s.fetch(req, traffic.Members, follow.Pull{Address: address, Stall: timeout, Timeout: timeout}, catalog.Document{})
 }
 
-// listFor answers a VM that starts, and takes in what it says of itself.
-func (r *reader) listFor(ctx *fasthttp.RequestCtx) ([]byte, error) {
-	asker := &pb.MemberUpdate{}
-	switch err := proto.Unmarshal(ctx.PostBody(), asker); {
+// memberListFor returns the encoded answer to a joining VM and adds that VM's entry,
+// from the request body, to the member list.
+func (s *catalogSyncer) memberListFor(ctx *fasthttp.RequestCtx) ([]byte, error) {
+	joining := &pb.MemberUpdate{}
+	switch err := proto.Unmarshal(ctx.PostBody(), joining); {
 	case err != nil:
-		r.log.Warn("peer: a joining VM could not be read", zap.Error(err))
-	case asker.Vm != "":
-		r.learn([]*pb.MemberUpdate{asker})
+		s.log.Warn("peer: failed to decode the joining VM", zap.Error(err))
+	case joining.Vm != "":
+		s.learnMembers([]*pb.MemberUpdate{joining})
 	}
 	args := ctx.QueryArgs()
 	if !args.Has(argPacked) {
-		return proto.Marshal(r.memberPage(r.members()))
+		return proto.Marshal(s.memberPage(s.memberUpdates()))
 	}
 	ctx.Response.Header.SetContentEncoding(packedEncoding)
-	self := r.self()
-	if !args.Has(argWhole) && string(args.Peek(argRegion)) != self.Region {
-		return pagepack.Pack(r.memberPage([]*pb.MemberUpdate{self}), catalog.Document{})
+	self := s.self()
+	if !args.Has(argAllMembers) && string(args.Peek(argRegion)) != self.Region {
+		return pagepack.Pack(s.memberPage([]*pb.MemberUpdate{self}), catalog.Document{})
 	}
-	return r.memberList.get(time.Now(), func() ([]byte, error) {
-		return pagepack.Pack(r.memberPage(r.members()), catalog.Document{})
+	return s.memberList.get(time.Now(), func() ([]byte, error) {
+		return pagepack.Pack(s.memberPage(s.memberUpdates()), catalog.Document{})
 	})
 }
 
-// memberPage is what a VM that starts is told: members of the fleet, how far this VM is, and
-// what it holds of requests that crash upstreams.
-func (r *reader) memberPage(members []*pb.MemberUpdate) *pb.CatalogPage {
-	at := r.position()
-	return &pb.CatalogPage{Era: at.Era, Revision: at.Revision, Members: members, Quarantine: r.crashing()}
+// memberPage returns a page with the given members, this VM's catalog position and its
+// entries on requests that crash upstreams.
+func (s *catalogSyncer) memberPage(members []*pb.MemberUpdate) *pb.CatalogPage {
+	at := s.position()
+	return &pb.CatalogPage{Era: at.Era, Revision: at.Revision, Members: members, Quarantine: s.quarantineEntries()}
 }
 
-// crashing is what a VM that starts is told of requests that crash upstreams.
-func (r *reader) crashing() []*pb.QuarantineEntry {
-	return quarantine.Encode(r.poison.All(time.Now(), crashingMost))
+// quarantineEntries returns up to maxQuarantineEntries entries on requests that crash
+// upstreams.
+func (s *catalogSyncer) quarantineEntries() []*pb.QuarantineEntry {
+	return quarantine.Encode(s.poison.All(time.Now(), maxQuarantineEntries))
 }
 
-// packedList keeps the list of members packed for a moment. Its lock is held while a list
-// is packed, so that those who ask meanwhile get the same.
-type packedList struct {
-	mu   sync.Mutex
-	at   time.Time
-	body []byte
+// memberListCache caches the packed member list. Its lock is held while a list is
+// packed, so that concurrent requests share one result.
+type memberListCache struct {
+	mu       sync.Mutex
+	packedAt time.Time
+	body     []byte
 }
 
-// get is the list, packed anew when the one that is kept is too old.
-func (l *packedList) get(now time.Time, pack func() ([]byte, error)) ([]byte, error) {
+// get returns the cached list, or calls pack for a new one if the cached one is older
+// than memberListTTL.
+func (l *memberListCache) get(now time.Time, pack func() ([]byte, error)) ([]byte, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.body != nil && now.Sub(l.at) < listAge {
+	if l.body != nil && now.Sub(l.packedAt) < memberListTTL {
 		return l.body, nil
 	}
 	body, err := pack()
 	if err != nil {
 		return nil, err
 	}
-	l.at, l.body = now, body
+	l.packedAt, l.body = now, body
 	return body, nil
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,7 +1,8 @@
-// Package node wires the parts of one VM that serves callers over direct
-// connections to upstreams: it reads the store with its peers, gossips, serves
-// callers, the directory and metrics, and stops without cutting requests off. It
-// holds no policy.
+// Package node assembles the daemon of a VM that forwards callers' requests over direct
+// connections to upstreams. The daemon synchronises the catalog with the store and with
+// peers, takes part in gossip, and serves callers, the directory and metrics. On
+// shutdown it drains the requests in flight. Policy is implemented in the packages that
+// it connects.
 package node
 
 import (
@@ -36,65 +37,70 @@
 )
 
 const (
-	// gossipPeriod, gossipDirect and gossipSuspicion let the directory leave a
-	// dead VM out about a second and a half after its end.
-	gossipPeriod    = 400 * time.Millisecond
-	gossipDirect    = 150 * time.Millisecond
-	gossipSuspicion = 2
-	// gossipUpdateRate bounds the bytes a second spent on updates: a fleet of a
-	// hundred whose processes are all replaced is known again in two seconds.
+	// With gossipPeriod, gossipDirectTimeout and gossipSuspicionFactor, the directory
+	// omits a dead VM about 1.5 s after its death.
+	gossipPeriod          = 400 * time.Millisecond
+	gossipDirectTimeout   = 150 * time.Millisecond
+	gossipSuspicionFactor = 2
+	// gossipUpdateRate limits the bytes per second spent on member updates. It is
+	// enough to spread the replacement of all processes of a fleet of a hundred VMs
+	// within two seconds.
 	gossipUpdateRate = 6000
-	// directoryTTL is how long callers keep an answer of the directory at most.
-	// Each question may go to a lost VM and cost its caller a second, while an
-	// address that fails is passed over by itself.
-	directoryTTL = 4500 * time.Millisecond
-	// leastTTL is the shortest, where the grace of a stop is short or none.
-	leastTTL = time.Second
-	// settleAfter is how long after its start a process does not yet take what it
-	// knows of the fleet for all of it. It takes the fleet for startVMs and
-	// startCarriers at least, which is about what a user runs today, and leaves
-	// the directory to the others: callers keep what they were told before.
-	settleAfter   = 1200 * time.Millisecond
-	startVMs      = 12
-	startCarriers = 6
-	// engineTick is how often idle connections are looked through.
-	engineTick = time.Second
-	// maxRequests bounds the requests in flight on a VM with a whole core; the
-	// usual load needs a tenth.
+	// maxDirectoryTTL is the longest TTL of a directory answer. A lookup that reaches
+	// a dead VM costs its caller a second, so lookups should be rare; callers skip an
+	// address that fails without a new lookup.
+	maxDirectoryTTL = 4500 * time.Millisecond
+	// minDirectoryTTL is the TTL if the shutdown grace period is too short for a
+	// longer one.
+	minDirectoryTTL = time.Second
+	// startupSettleTime is how long after its start the process treats its member list
+	// as incomplete. Meanwhile it assumes at least startupMinVMs VMs and
+	// startupMinCarriers carriers, about the size of a fleet in use today, and returns
+	// no VMs from the directory, so that callers keep their previous answer.
+	startupSettleTime  = 1200 * time.Millisecond
+	startupMinVMs      = 12
+	startupMinCarriers = 6
+	// engineTickInterval is the interval between checks for idle connections.
+	engineTickInterval = time.Second
+	// maxRequests limits the requests in flight on a VM with one core and scales with
+	// the number of cores. The usual load needs a tenth of it.
 	maxRequests = 2000
-	// leastRequests is the bound on a VM with little of a core.
-	leastRequests = 200
+	// minRequests is the lower bound of that limit on VMs with a small share of a core.
+	minRequests = 200
 )
 
-// gossipKey signs datagrams. The platform hands out no secret, so it guards only
-// against stray datagrams; see docs/OPERATIONS.md.
+// gossipKey signs datagrams. The platform provides no secret, so the key only
+// protects against stray datagrams; see docs/OPERATIONS.md.
 const gossipKey = "sycamorekeel open internal network"
 
-// Adapter is how one environment is spoken to.
+// Adapter connects a Daemon to its environment: the store, the encoding of its
+// items, and the protocols of upstreams and callers.
 type Adapter struct {
 	Store     Store
 	Decoder   catalog.Decoder
 	Upstreams direct.Protocol
-	// Callers serves callers by the engine; leaving tells whether the VM is
-	// being stopped.
+	// Callers returns the handler that passes callers' requests to the engine.
+	// leaving reports whether the VM is shutting down.
 	Callers func(e *edge.Engine, leaving func() bool) CallerHandler
-	// Directory serves callers that ask which VMs to use.
+	// Directory returns the handler of directory lookups. choose returns the caller
+	// addresses of the VMs that a caller should use, and ttl is how long it may keep
+	// the answer.
 	Directory func(choose func(placement.Caller) []string, ttl time.Duration) fasthttp.RequestHandler
-	// Ready serves the question whether this VM takes callers.
+	// Ready returns the handler of readiness checks.
 	Ready func(ready func() bool) fasthttp.RequestHandler
 }
 
-// CallerHandler serves callers.
+// CallerHandler handles callers' requests.
 type CallerHandler interface {
-	// Handle serves a request.
+	// Handle answers a request.
 	Handle(*fasthttp.RequestCtx)
 	// Fault answers a request that could not be read.
 	Fault(*fasthttp.RequestCtx, error)
 }
 
-// Options is what a node needs.
+// Options holds the dependencies of a Daemon.
 type Options struct {
-	// Traffic counts the bytes that this VM exchanges.
+	// Traffic counts the bytes that this VM sends and receives.
 	Traffic   *traffic.Meter
 	Logs      logring.Loggers
 	Registry  *prometheus.Registry
@@ -102,69 +108,69 @@
 	Reloading Reloading
 }
 
-// Node is one VM's process.
-type Node struct {
-	set      atomic.Pointer[Settings]
-	load     func() (*Settings, error)
-	reloads  <-chan os.Signal
-	logs     logring.Loggers
-	log      *zap.Logger
-	registry *prometheus.Registry
-	adapter  Adapter
-	started  time.Time
-	engine   *edge.Engine
-	reader   *reader
-	gossip   *gossip.Driver
-	members  atomic.Pointer[membership.View]
-	// upstreams is how many upstreams each data centre has in the view in force.
-	upstreams atomic.Pointer[map[string]int]
-	leaving   atomic.Bool
-	strained  atomic.Bool
-	// carrying says that callers are told to use this VM.
-	carrying atomic.Bool
-	sharers  sharers
-	traffic  *traffic.Meter
-	callers  callerCount
-	warnings *warnings
+// Daemon is the process that runs on one VM.
+type Daemon struct {
+	settings      atomic.Pointer[Settings]
+	loadSettings  func() (*Settings, error)
+	reloadSignals <-chan os.Signal
+	logs          logring.Loggers
+	log           *zap.Logger
+	registry      *prometheus.Registry
+	adapter       Adapter
+	started       time.Time
+	engine        *edge.Engine
+	syncer        *catalogSyncer
+	gossip        *gossip.Driver
+	members       atomic.Pointer[membership.View]
+	// upstreamCounts is the number of upstreams per data centre in the current view.
+	upstreamCounts atomic.Pointer[map[string]int]
+	leaving        atomic.Bool
+	strained       atomic.Bool
+	// carrying reports whether the directory sends callers to this VM.
+	carrying     atomic.Bool
+	recentShares shareHistory
+	traffic      *traffic.Meter
+	callerConns  connCounter
+	warnings     *warningLog
 }
 
-// New wires a node; Run starts it.
-func New(set *Settings, opts Options) *Node {
+// New returns a Daemon that has not been started; call Run to start it.
+func New(set *Settings, opts Options) *Daemon {
 	now := time.Now()
-	n := &Node{
-		load:     opts.Reloading.Load,
-		reloads:  opts.Reloading.Signals,
-		logs:     opts.Logs,
-		log:      opts.Logs.Changes,
-		registry: opts.Registry,
-		adapter:  opts.Adapter,
-		traffic:  opts.Traffic,
-		started:  now,
-		warnings: newWarnings(opts.Logs.Changes, opts.Registry),
+	d := &Daemon{
+		loadSettings:  opts.Reloading.Load,
+		reloadSignals: opts.Reloading.Signals,
+		logs:          opts.Logs,
+		log:           opts.Logs.Changes,
+		registry:      opts.Registry,
+		adapter:       opts.Adapter,
+		traffic:       opts.Traffic,
+		started:       now,
+		warnings:      newWarningLog(opts.Logs.Changes, opts.Registry),
 	}
-	n.set.Store(set)
-	n.members.Store(&membership.View{})
-	n.upstreams.Store(&map[string]int{})
-	random := rand.New(rand.NewPCG(seedOf(set.VM), uint64(now.UnixNano())))
-	n.engine = edge.New(now, edge.Options{
+	d.settings.Store(set)
+	d.members.Store(&membership.View{})
+	d.upstreamCounts.Store(&map[string]int{})
+	random := rand.New(rand.NewPCG(hashName(set.VM), uint64(now.UnixNano())))
+	d.engine = edge.New(now, edge.Options{
 		Logs:        opts.Logs,
 		Metrics:     edge.NewMetrics(opts.Registry),
 		Protocol:    opts.Adapter.Upstreams,
 		Place:       placeOf(set),
 		Traffic:     opts.Traffic,
 		Budget:      set.Budget,
-		MaxRequests: max(leastRequests, int(maxRequests*set.Cores)),
+		MaxRequests: max(minRequests, int(maxRequests*set.Cores)),
 		Random:      random,
-		ViewAge:     func() time.Duration { return n.reader.confirmedAge(time.Now()) },
+		ViewAge:     func() time.Duration { return d.syncer.confirmedAge(time.Now()) },
 	})
-	n.reader = &reader{
-		log:      opts.Logs.Changes,
-		met:      newStoreMetrics(opts.Registry),
-		store:    opts.Adapter.Store,
-		announce: n.announce,
-		changed:  n.changed,
-		exchanged: func(p traffic.Purpose, address string, bytes int) {
-			n.traffic.Add(p, n.distanceOf(address), bytes)
+	d.syncer = &catalogSyncer{
+		log:       opts.Logs.Changes,
+		met:       newCatalogMetrics(opts.Registry),
+		store:     opts.Adapter.Store,
+		announce:  d.announce,
+		applyView: d.applyView,
+		countBytes: func(p traffic.Purpose, address string, bytes int) {
+			d.traffic.Add(p, d.distanceTo(address), bytes)
 		},
 		follower: follow.New(now, follow.Options{
 			VM:         set.VM,
@@ -173,23 +179,23 @@
 			FirstStart: set.FirstStart,
 			Seed:       slices.Contains(set.Seeds, set.PeerAddress),
 			Decoder:    opts.Adapter.Decoder,
-			Random:     rand.New(rand.NewPCG(seedOf(set.VM), uint64(now.UnixMicro()))),
+			Random:     rand.New(rand.NewPCG(hashName(set.VM), uint64(now.UnixMicro()))),
 		}),
 	}
-	n.gossip = n.newGossip(now, set)
-	n.showState(opts.Registry)
+	d.gossip = d.newGossip(now, set)
+	d.registerGauges(opts.Registry)
 	opts.Registry.MustRegister(opts.Traffic)
-	n.reader.members = n.gossip.Updates
-	n.reader.learn = n.gossip.Learn
-	n.reader.poison = n.engine.Poison()
-	n.reader.self = n.gossip.Self
-	n.reader.view = n.members.Load
-	return n
+	d.syncer.memberUpdates = d.gossip.Updates
+	d.syncer.learnMembers = d.gossip.Learn
+	d.syncer.poison = d.engine.Poison()
+	d.syncer.self = d.gossip.Self
+	d.syncer.view = d.members.Load
+	return d
 }
 
-func seedOf(name string) uint64 {
+func hashName(name string) uint64 {
 	h := fnv.New64a()
-	// A hash never fails to write.
+	// Write on a hash.Hash never returns an error.
 	_, _ = h.Write([]byte(name))
 	return h.Sum64()
 }
@@ -198,31 +204,32 @@
 	return locality.Place{DataCentre: set.DataCentre, Region: set.Region, Regions: set.Regions}
 }
 
-// place is where this VM is.
-func (n *Node) place() locality.Place { return placeOf(n.set.Load()) }
+// place returns the location of this VM.
+func (d *Daemon) place() locality.Place { return placeOf(d.settings.Load()) }
 
-// distanceOf is how far the peer with an address is, Unknown when no member has it.
-func (n *Node) distanceOf(address string) locality.Distance {
-	for _, m := range n.members.Load().Members {
+// distanceTo returns the distance to the peer with the given address, or
+// locality.Unknown if no member has that address.
+func (d *Daemon) distanceTo(address string) locality.Distance {
+	for _, m := range d.members.Load().Members {
 		if m.PeerAddress == address {
-			return n.place().To(m.Region, m.DataCentre)
+			return d.place().To(m.Region, m.DataCentre)
 		}
 	}
 	return locality.Unknown
 }
 
-// otherSeeds is the seeds without this VM.
+// otherSeeds returns the seeds other than this VM.
 func otherSeeds(set *Settings) []string {
 	return slices.DeleteFunc(slices.Clone(set.Seeds), func(s string) bool { return s == set.PeerAddress })
 }
 
-func (n *Node) newGossip(now time.Time, set *Settings) *gossip.Driver {
+func (d *Daemon) newGossip(now time.Time, set *Settings) *gossip.Driver {
 	return gossip.New(gossip.Options{
-		Log:      n.log,
-		Registry: n.registry,
+		Log:      d.log,
+		Registry: d.registry,
 		Now:      time.Now,
 		Sent: func(region, dataCentre string, bytes int) {
-			n.traffic.Add(traffic.Gossip, n.place().To(region, dataCentre), bytes)
+			d.traffic.Add(traffic.Gossip, d.place().To(region, dataCentre), bytes)
 		},
 		Keys: []*pb.PeerKey{{Id: "open", Secret: gossipKey}},
 		Node: membership.Options{
@@ -237,72 +244,72 @@
 			Seeds:    otherSeeds(set),
 			Sole:     true,
 			KeepNear: true,
-			Seed:     seedOf(set.VM),
+			Seed:     hashName(set.VM),
 			Timing: membership.Timing{
 				Period:          gossipPeriod,
-				DirectTimeout:   gossipDirect,
-				SuspicionFactor: gossipSuspicion,
+				DirectTimeout:   gossipDirectTimeout,
+				SuspicionFactor: gossipSuspicionFactor,
 				UpdateRate:      gossipUpdateRate,
 			},
 		},
 		Callbacks: gossip.Callbacks{
-			View:        n.membersChanged,
-			Heard:       n.reader.announced,
-			Quarantine:  n.engine.Poison().Heard,
-			Revalidate:  func() { n.log.Warn("gossip: this process was paused") },
-			Revalidated: func(alone bool) { n.log.Info("gossip: peers heard again", zap.Bool("alone", alone)) },
+			View:        d.applyMembers,
+			Heard:       d.syncer.onAnnouncement,
+			Quarantine:  d.engine.Poison().Heard,
+			Revalidate:  func() { d.log.Warn("gossip: this process was paused") },
+			Revalidated: func(alone bool) { d.log.Info("gossip: peers reachable again", zap.Bool("alone", alone)) },
 			Superseded:  func(uint64) {},
 		},
 	})
 }
 
-// announce gives the gossip what is known and since when it is confirmed; tell
-// sends it to peers at once.
-func (n *Node) announce(at catalog.Position, confirmed time.Time, tell *follow.Announce) {
-	n.gossip.SetConfirmed(at.Era, at.Revision, confirmed)
-	if tell != nil {
-		n.gossip.Announce(tell.Wide)
+// announce publishes the catalog position and the time of its last confirmation
+// through gossip. A non-nil push sends them to peers immediately.
+func (d *Daemon) announce(at catalog.Position, confirmed time.Time, push *follow.Announce) {
+	d.gossip.SetConfirmed(at.Era, at.Revision, confirmed)
+	if push != nil {
+		d.gossip.Announce(push.Wide)
 	}
 }
 
-// changed puts a view of the catalog in force.
-func (n *Node) changed(v *catalog.View) {
-	old := n.engine.View()
+// applyView makes v the current catalog view unless the current view is newer.
+func (d *Daemon) applyView(v *catalog.View) {
+	old := d.engine.View()
 	if old != nil && !old.Before(v) {
 		return
 	}
-	n.engine.SetView(time.Now(), v)
+	d.engine.SetView(time.Now(), v)
 	counts := countUpstreams(v)
-	n.upstreams.Store(&counts)
-	n.logView(old, v)
-	n.showCapacity()
+	d.upstreamCounts.Store(&counts)
+	d.logView(old, v)
+	d.publishCapacity()
 }
 
-func (n *Node) logView(old, v *catalog.View) {
+func (d *Daemon) logView(old, v *catalog.View) {
 	version := uint64(0)
 	if v.Table != nil {
 		version = v.Table.Version()
 	}
-	n.log.Info("config: view in force", zap.Uint64("era", v.Era), zap.Uint64("revision", v.Revision), zap.Uint64("version", version), zap.Int("upstreams", len(v.Upstreams)))
+	d.log.Info("config: view in force", zap.Uint64("era", v.Era), zap.Uint64("revision", v.Revision), zap.Uint64("version", version), zap.Int("upstreams", len(v.Upstreams)))
 	if v.Config != nil && (old == nil || old.Config != v.Config) {
 		for _, w := range v.Config.Warnings {
-			n.warnings.warn(w.String(), zap.Uint64("version", version))
+			d.warnings.warn(w.String(), zap.Uint64("version", version))
 		}
 	}
-	n.logEvacuations(old, v)
+	d.logEvacuations(old, v)
 	if old == nil {
 		return
 	}
 	for id, u := range old.Upstreams {
 		if now := v.Upstreams[id]; now == nil || now.Leaving && !u.Leaving {
-			n.log.Info("config: upstream out", zap.String("upstream", id), zap.String("service", u.Service), zap.Bool("leaving", now != nil), zap.Uint64("revision", v.Revision))
+			d.log.Info("config: upstream out", zap.String("upstream", id), zap.String("service", u.Service), zap.Bool("leaving", now != nil), zap.Uint64("revision", v.Revision))
 		}
 	}
 }
 
-// logEvacuations tells of the evacuations that have begun or ended since an older view, nil
-// for none.
-func (n *Node) logEvacuations(old, v *catalog.View) {
+// logEvacuations logs the evacuations that have begun or ended since the old view,
+// which is nil before the first one.
+func (d *Daemon) logEvacuations(old, v *catalog.View) {
 	var before map[string]bool
 	if old != nil {
 		before = old.Evacuated
@@ -311,65 +318,67 @@
 		if before[dataCentre] {
 			continue
 		}
-		n.log.Info("config: data centre evacuated", zap.String("data_centre", dataCentre), zap.Uint64("revision", v.Revision))
-		if _, known := n.set.Load().Regions[dataCentre]; !known {
-			n.warnings.warn("evacuated data centre "+dataCentre+" is none of the settings", zap.Uint64("revision", v.Revision))
+		d.log.Info("config: data centre evacuated", zap.String("data_centre", dataCentre), zap.Uint64("revision", v.Revision))
+		if _, known := d.settings.Load().Regions[dataCentre]; !known {
+			d.warnings.warn("evacuated data centre "+dataCentre+" is not in the settings", zap.Uint64("revision", v.Revision))
 		}
 	}
 	for dataCentre := range before {
 		if !v.Evacuated[dataCentre] {
-			n.log.Info("config: evacuation over", zap.String("data_centre", dataCentre), zap.Uint64("revision", v.Revision))
+			d.log.Info("config: evacuation ended", zap.String("data_centre", dataCentre), zap.Uint64("revision", v.Revision))
 		}
 	}
 }
 
-// showCapacity tells peers what this VM can carry for callers.
-func (n *Node) showCapacity() {
+// publishCapacity announces through gossip the capacity that this VM offers to
+// callers, in thousandths of a core; 0 while it is not ready.
+func (d *Daemon) publishCapacity() {
 	capacity := uint32(0)
 	switch {
-	case n.ready() && n.strained.Load():
+	case d.ready() && d.strained.Load():
 		capacity = placement.StrainedCapacity
-	case n.ready():
-		capacity = uint32(max(placement.StrainedCapacity+1, 1000*n.set.Load().Cores))
+	case d.ready():
+		capacity = uint32(max(placement.StrainedCapacity+1, 1000*d.settings.Load().Cores))
 	}
-	n.gossip.SetCapacity(capacity)
+	d.gossip.SetCapacity(capacity)
 }
 
-// ready tells whether this VM takes callers.
-func (n *Node) ready() bool {
-	v := n.engine.View()
-	return v != nil && v.Table != nil && !n.leaving.Load()
+// ready reports whether this VM accepts callers' requests.
+func (d *Daemon) ready() bool {
+	v := d.engine.View()
+	return v != nil && v.Table != nil && !d.leaving.Load()
 }
 
-func (n *Node) membersChanged(view *membership.View) {
-	old := n.members.Load()
+// applyMembers makes view the current member view unless the current one is newer.
+func (d *Daemon) applyMembers(view *membership.View) {
+	old := d.members.Load()
 	if old.Version > view.Version {
 		return
 	}
-	n.members.Store(view)
-	n.logMembers(old, view)
-	n.reader.setPeers(view, n.set.Load().VM)
-	n.showShares(time.Now())
+	d.members.Store(view)
+	d.logMembers(old, view)
+	d.syncer.setPeers(view, d.settings.Load().VM)
+	d.updateShares(time.Now())
 }
 
-// showShares tells the engine what part of the fleet's bounds is this VM's.
-func (n *Node) showShares(now time.Time) {
-	members := n.members.Load()
-	carriers := placement.Carriers(members.Members, n.placementBounds())
-	n.carrying.Store(carriers[n.set.Load().CallerAddress])
-	shares := n.sharers.count(now, edge.Shares{
+// updateShares updates this VM's share of the limits that apply to the whole fleet.
+func (d *Daemon) updateShares(now time.Time) {
+	members := d.members.Load()
+	carriers := placement.Carriers(members.Members, d.placementBounds())
+	d.carrying.Store(carriers[d.settings.Load().CallerAddress])
+	shares := d.recentShares.update(now, edge.Shares{
 		VMs:      len(members.Serving()),
 		Carriers: len(carriers),
-		Carrying: n.carrying.Load(),
+		Carrying: d.carrying.Load(),
 	})
-	if now.Sub(n.started) < settleAfter {
-		shares.VMs = max(shares.VMs, startVMs)
-		shares.Carriers = max(shares.Carriers, startCarriers)
+	if now.Sub(d.started) < startupSettleTime {
+		shares.VMs = max(shares.VMs, startupMinVMs)
+		shares.Carriers = max(shares.Carriers, startupMinCarriers)
 	}
-	n.engine.SetShares(now, shares)
+	d.engine.SetShares(now, shares)
 }
 
-func (n *Node) logMembers(old, view *membership.View) {
+func (d *Daemon) logMembers(old, view *membership.View) {
 	before := map[string]pb.MemberState{}
 	for i := range old.Members {
 		before[old.Members[i].VM] = old.Members[i].State
@@ -377,44 +386,46 @@
 	for i := range view.Members {
 		m := &view.Members[i]
 		if was, known := before[m.VM]; !known || was != m.State {
-			n.log.Info("gossip: member", zap.String("member", m.VM), zap.Stringer("state", m.State), zap.Uint64("incarnation", m.Incarnation))
+			d.log.Info("gossip: member", zap.String("member", m.VM), zap.Stringer("state", m.State), zap.Uint64("incarnation", m.Incarnation))
 		}
 	}
 }
 
-// choose is the directory's answer.
-func (n *Node) choose(c placement.Caller) []string {
-	if !n.set.Load().FirstStart && time.Since(n.started) < settleAfter {
+// chooseVMs returns the addresses of the VMs that a caller should use, or none while
+// the member list of a process that has just started may be incomplete.
+func (d *Daemon) chooseVMs(c placement.Caller) []string {
+	if !d.settings.Load().FirstStart && time.Since(d.started) < startupSettleTime {
 		return nil
 	}
-	if v := n.engine.View(); v != nil && v.Table != nil {
+	if v := d.engine.View(); v != nil && v.Table != nil {
 		c.Homes = v.Table.HostHomes(c.Host)
 	}
-	return placement.Choose(n.members.Load().Members, c, n.placementBounds())
+	return placement.Choose(d.members.Load().Members, c, d.placementBounds())
 }
 
-// Run serves until ctx ends, then stops within the grace.
-func (n *Node) Run(ctx context.Context) error {
-	n.log.Info("node: started", zap.String("data_centre", n.set.Load().DataCentre), zap.Bool("first_start", n.set.Load().FirstStart))
-	servers, err := n.listen()
+// Run serves until ctx is done, then shuts down within the grace period. It returns
+// an error if a listener cannot be opened or a server fails.
+func (d *Daemon) Run(ctx context.Context) error {
+	d.log.Info("node: started", zap.String("data_centre", d.settings.Load().DataCentre), zap.Bool("first_start", d.settings.Load().FirstStart))
+	servers, err := d.listen()
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	packets, err := net.ListenPacket("udp", n.set.Load().peerListen())
+	packets, err := net.ListenPacket("udp", d.settings.Load().peerListen())
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	run, stop := context.WithCancel(context.Background())
 	defer stop()
 	group, run := errgroup.WithContext(run)
-	group.Go(func() error { return n.gossip.Run(run, packets) })
-	group.Go(func() error { return n.reader.run(run) })
-	group.Go(func() error { return n.join(run) })
-	group.Go(func() error { return n.tick(run) })
-	group.Go(func() error { return n.engine.Poison().Run(run, n.gossip) })
-	group.Go(func() error { return n.watchStrain(run) })
-	group.Go(func() error { return n.logTraffic(run) })
-	group.Go(func() error { return n.watchSettings(run) })
+	group.Go(func() error { return d.gossip.Run(run, packets) })
+	group.Go(func() error { return d.syncer.run(run) })
+	group.Go(func() error { return d.join(run) })
+	group.Go(func() error { return d.runTicker(run) })
+	group.Go(func() error { return d.engine.Poison().Run(run, d.gossip) })
+	group.Go(func() error { return d.watchStrain(run) })
+	group.Go(func() error { return d.logTraffic(run) })
+	group.Go(func() error { return d.watchSettings(run) })
 	for _, s := range servers {
 		group.Go(s.serve)
 	}
@@ -424,7 +435,7 @@
 		defer stopping.Done()
 		select {
 		case <-ctx.Done():
-			n.stop(servers)
+			d.shutdown(servers)
 		case <-run.Done():
 		}
 		stop()
@@ -432,12 +443,13 @@
 	}()
 	err = group.Wait()
 	stopping.Wait()
-	n.log.Info("node: stopped", zap.Error(err))
+	d.log.Info("node: stopped", zap.Error(err))
 	return trace.Wrap(err)
 }
 
-// watchStrain measures how late this process is woken and acts on it.
-func (n *Node) watchStrain(ctx context.Context) error {
+// watchStrain measures the scheduling delay of this process and reduces the
+// published capacity while the process gets too little CPU time.
+func (d *Daemon) watchStrain(ctx context.Context) error {
 	t := time.NewTicker(strain.Every)
 	defer t.Stop()
 	var m strain.Meter
@@ -448,25 +460,25 @@
 		case <-t.C:
 		}
 		changed := m.Woken(time.Now())
-		n.engine.SetLag(m.Lag())
+		d.engine.SetLag(m.Lag())
 		if changed {
-			n.strained.Store(m.Strained())
-			n.log.Warn("node: strain", zap.Bool("strained", m.Strained()), zap.Duration("lag", m.Lag()))
-			n.showCapacity()
+			d.strained.Store(m.Strained())
+			d.log.Warn("node: strain", zap.Bool("strained", m.Strained()), zap.Duration("lag", m.Lag()))
+			d.publishCapacity()
 		}
 	}
 }
 
-func (n *Node) tick(ctx context.Context) error {
-	t := time.NewTicker(engineTick)
+func (d *Daemon) runTicker(ctx context.Context) error {
+	t := time.NewTicker(engineTickInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case now := <-t.C:
-			n.engine.Tick(now)
-			n.showShares(now)
+			d.engine.Tick(now)
+			d.updateShares(now)
 		}
 	}
 }
--- a/internal/node/pages.go
+++ b/internal/node/pages.go
@@ -20,29 +20,31 @@
 )
 
 const (
-	// pullPath is where a VM gives its peers what it knows.
-	pullPath = "/catalog"
-	// membersPath is where a VM gives its peers what it holds of the fleet.
+	// catalogPath is the path at which a VM serves its catalog to peers.
+	catalogPath = "/catalog"
+	// membersPath is the path at which a VM serves its member list to peers.
 	membersPath = "/members"
-	// argAfter is the revision up to which the asker knows everything, argEra its era; one
-	// of an older release does not send the era.
+	// argAfter is the revision up to which the requester has all changes, and argEra is
+	// the era of that revision. Older releases do not send argEra.
 	argAfter = "after"
 	argEra   = "era"
-	// argPacked says that the asker can unpack pages; one of an older release does not
-	// send it and gets them plain.
+	// argPacked says that the requester accepts packed pages. Older releases do not
+	// send it and receive unpacked pages.
 	argPacked = "packed"
-	// argBase names by its hash, in hexadecimal, the configuration that the asker holds.
+	// argBase is the hash, in hexadecimal, of the configuration that the requester
+	// holds.
 	argBase = "base"
-	// packedEncoding marks a packed page.
+	// packedEncoding is the Content-Encoding of a packed page.
 	packedEncoding = "zstd"
-	// maxPacked bounds the pages kept packed: askers of one revision hold few others.
-	maxPacked = 32
+	// maxCachedPages limits the cached packed pages. Peers that request pages of the
+	// same position hold few different earlier ones.
+	maxCachedPages = 32
 )
 
-// fetchCatalog asks a peer for what it knows after a position.
-func (r *reader) fetchCatalog(p follow.Pull) (*pb.CatalogPage, error) {
-	base := r.base()
-	req := question(p.Address, pullPath)
+// fetchCatalog requests a peer's catalog changes after a position.
+func (s *catalogSyncer) fetchCatalog(p follow.Pull) (*pb.CatalogPage, error) {
+	base := s.packingBase()
+	req := newPeerRequest(p.Address, catalogPath)
 	defer fasthttp.ReleaseRequest(req)
 	args := req.URI().QueryArgs()
 	args.Set(argAfter, strconv.FormatUint(p.After.Revision, 10))
@@ -51,16 +53,16 @@
 	if len(base.Text) > 0 {
 		args.Set(argBase, strconv.FormatUint(base.Sum, 16))
 	}
-	page, err := r.fetch(req, traffic.Page, p, base)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.unreadable = trace.IsBadParameter(err)
+	page, err := s.fetch(req, traffic.Page, p, base)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lastPageUnreadable = trace.IsBadParameter(err)
 	return page, err
 }
 
-// question is a request to a peer, to be released. The host comes first: the library
-// takes it from there when the rest of the address is read.
-func question(address, path string) *fasthttp.Request {
+// newPeerRequest returns a request to a peer; the caller releases it. The host is set
+// first because fasthttp takes it from the header when it parses the request URI.
+func newPeerRequest(address, path string) *fasthttp.Request {
 	req := fasthttp.AcquireRequest()
 	req.Header.SetHost(address)
 	req.SetRequestURI(path)
@@ -68,29 +70,30 @@
 	return req
 }
 
-// base is what a page may be packed against: none after one that could not be unpacked.
-func (r *reader) base() catalog.Document {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.unreadable {
+// packingBase returns the document that a page may be packed against: the configuration
+// in force, or the zero Document if the last page could not be unpacked.
+func (s *catalogSyncer) packingBase() catalog.Document {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.lastPageUnreadable {
 		return catalog.Document{}
 	}
-	return r.follower.State().InForce()
+	return s.follower.State().InForce()
 }
 
-// fetch sends a question to a peer and decodes its page. A page that cannot be read is a
-// trace.BadParameter.
-func (r *reader) fetch(req *fasthttp.Request, purpose traffic.Purpose, p follow.Pull, base catalog.Document) (*pb.CatalogPage, error) {
+// fetch sends a request to a peer and decodes the page in the response. It returns a
+// trace.BadParameter error if the page cannot be decoded.
+func (s *catalogSyncer) fetch(req *fasthttp.Request, purpose traffic.Purpose, p follow.Pull, base catalog.Document) (*pb.CatalogPage, error) {
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	client := &fasthttp.HostClient{
 		Addr: p.Address, MaxResponseBodySize: pagepack.MaxPage, NoDefaultUserAgentHeader: true, MaxIdemponentCallAttempts: 1,
 		DialTimeout: func(addr string, _ time.Duration) (net.Conn, error) {
-			conn, err := dialStalling(addr, p.Stall)
+			conn, err := dialWithIdleTimeout(addr, p.Stall)
 			if err != nil {
 				return nil, err
 			}
-			return traffic.CountConn(conn, func(n int) { r.exchanged(purpose, p.Address, n) }), nil
+			return traffic.CountConn(conn, func(n int) { s.countBytes(purpose, p.Address, n) }), nil
 		},
 	}
 	if err := client.DoTimeout(req, resp, p.Timeout); err != nil {
@@ -99,18 +102,18 @@
 	if resp.StatusCode() != fasthttp.StatusOK {
 		return nil, trace.ConnectionProblem(nil, "the peer answered with status %d", resp.StatusCode())
 	}
-	r.met.pulled.Add(float64(len(resp.Body())))
+	s.met.pulledBytes.Add(float64(len(resp.Body())))
 	if string(resp.Header.ContentEncoding()) == packedEncoding {
 		return pagepack.Unpack(resp.Body(), base)
 	}
 	page := &pb.CatalogPage{}
 	if err := proto.Unmarshal(resp.Body(), page); err != nil {
-		return nil, trace.BadParameter("a page of %d bytes: %v", len(resp.Body()), err)
+		return nil, trace.BadParameter("cannot decode page of %d bytes: %v", len(resp.Body()), err)
 	}
 	return page, nil
 }
 
-func pageOf(m *pb.CatalogPage) catalog.Page {
+func decodePage(m *pb.CatalogPage) catalog.Page {
 	page := catalog.Page{
 		At:    catalog.Position{Era: m.Era, Revision: m.Revision},
 		After: catalog.Position{Era: m.Era, Revision: m.After},
@@ -125,37 +128,37 @@
 	return page
 }
 
-// serve answers a peer's question.
-func (r *reader) serve(ctx *fasthttp.RequestCtx) {
+// servePeer handles a peer's request for the catalog or the member list.
+func (s *catalogSyncer) servePeer(ctx *fasthttp.RequestCtx) {
 	args := ctx.QueryArgs()
-	after, err := positionOf(args)
+	after, err := parsePosition(args)
 	var body []byte
 	switch path := string(ctx.Path()); {
-	case path == pullPath && err != nil:
+	case path == catalogPath && err != nil:
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
-	case path == pullPath && args.Has(argPacked):
-		body, err = r.packedPage(after, baseOf(args))
+	case path == catalogPath && args.Has(argPacked):
+		body, err = s.encodePage(after, parseBase(args))
 		ctx.Response.Header.SetContentEncoding(packedEncoding)
-	case path == pullPath:
-		page, _ := r.page(after, 0)
+	case path == catalogPath:
+		page, _ := s.pageSince(after, 0)
 		body, err = proto.Marshal(page)
 	case path == membersPath:
-		body, err = r.listFor(ctx)
+		body, err = s.memberListFor(ctx)
 	default:
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
 	if err != nil {
-		r.log.Error("peer: page could not be made", zap.Error(err))
+		s.log.Error("peer: failed to encode page", zap.Error(err))
 		ctx.Error("no page", fasthttp.StatusInternalServerError)
 		return
 	}
 	ctx.SetBody(body)
 }
 
-// positionOf is the position up to which the asker knows everything.
-func positionOf(args *fasthttp.Args) (catalog.Position, error) {
+// parsePosition returns the position up to which the requester has all changes.
+func parsePosition(args *fasthttp.Args) (catalog.Position, error) {
 	revision, err := strconv.ParseUint(string(args.Peek(argAfter)), 10, 64)
 	if err != nil {
 		return catalog.Position{}, trace.BadParameter("%s must be a whole number", argAfter)
@@ -170,9 +173,9 @@
 	return catalog.Position{Era: era, Revision: revision}, nil
 }
 
-// baseOf is the hash of the document that the asker holds, 0 when it names none: its page
-// is then packed without.
-func baseOf(args *fasthttp.Args) uint64 {
+// parseBase returns the hash of the document that the requester holds, or 0 if the
+// request names none, so that its page is packed without a base.
+func parseBase(args *fasthttp.Args) uint64 {
 	sum, err := strconv.ParseUint(string(args.Peek(argBase)), 16, 64)
 	if err != nil {
 		return 0
@@ -180,11 +183,12 @@
 	return sum
 }
 
-// page is what is known after a position, and the document with a hash if it is kept.
-func (r *reader) page(after catalog.Position, base uint64) (*pb.CatalogPage, catalog.Document) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	state := r.follower.State()
+// pageSince returns the changes after a position, and the document with the hash base
+// if this VM still has it.
+func (s *catalogSyncer) pageSince(after catalog.Position, base uint64) (*pb.CatalogPage, catalog.Document) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	state := s.follower.State()
 	known := state.PageSince(after)
 	page := &pb.CatalogPage{Era: known.At.Era, Revision: known.At.Revision, After: known.After.Revision, Whole: known.Whole}
 	for _, it := range known.Items {
@@ -198,25 +202,26 @@
 	return page, state.Document(base)
 }
 
-// packedPages keeps pages of the present position packed. In a large fleet many VMs ask
-// for the same at the same moment, and packing one takes a weak VM some ten milliseconds.
-type packedPages struct {
-	making singleflight.Group
+// pageCache caches the packed pages of the current position. In a large fleet many VMs
+// request the same page at the same time, and packing one takes a slow VM about ten
+// milliseconds.
+type pageCache struct {
+	encoding singleflight.Group
 
 	mu     sync.Mutex
 	at     catalog.Position
-	bodies map[packedKey][]byte
+	bodies map[pageKey][]byte
 }
 
-// packedKey is what a page depends on beside the position.
-type packedKey struct {
+// pageKey holds what a packed page depends on besides the position.
+type pageKey struct {
 	after catalog.Position
 	base  uint64
 }
 
-func (k packedKey) String() string { return k.after.String() + " " + strconv.FormatUint(k.base, 16) }
+func (k pageKey) String() string { return k.after.String() + " " + strconv.FormatUint(k.base, 16) }
 
-func (p *packedPages) find(at catalog.Position, key packedKey) []byte {
+func (p *pageCache) get(at catalog.Position, key pageKey) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.at != at {
@@ -225,38 +230,39 @@
 	return p.bodies[key]
 }
 
-func (p *packedPages) keep(at catalog.Position, key packedKey, body []byte) {
+func (p *pageCache) put(at catalog.Position, key pageKey, body []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if at.Before(p.at) {
 		return
 	}
-	if p.at.Before(at) || p.bodies == nil || len(p.bodies) >= maxPacked {
+	if p.at.Before(at) || p.bodies == nil || len(p.bodies) >= maxCachedPages {
 		p.at = at
-		p.bodies = map[packedKey][]byte{}
+		p.bodies = map[pageKey][]byte{}
 	}
 	p.bodies[key] = body
 }
 
-// forget drops all pages: what they hold was discarded.
-func (p *packedPages) forget() {
+// reset removes all pages. It is called when the catalog that they were made from is
+// discarded.
+func (p *pageCache) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.at, p.bodies = catalog.Position{}, nil
 }
 
-// packedPage is the page for a peer, packed against the document that it holds where
-// this VM has it too.
-func (r *reader) packedPage(after catalog.Position, base uint64) ([]byte, error) {
-	key := packedKey{after, base}
-	if body := r.packed.find(r.position(), key); body != nil {
+// encodePage returns the packed page for a peer, using the document that the peer holds
+// as its base if this VM has it too.
+func (s *catalogSyncer) encodePage(after catalog.Position, base uint64) ([]byte, error) {
+	key := pageKey{after, base}
+	if body := s.pages.get(s.position(), key); body != nil {
 		return body, nil
 	}
-	body, err, _ := r.packed.making.Do(key.String(), func() (any, error) {
-		page, document := r.page(after, base)
+	body, err, _ := s.pages.encoding.Do(key.String(), func() (any, error) {
+		page, document := s.pageSince(after, base)
 		body, err := pagepack.Pack(page, document)
 		if err == nil {
-			r.packed.keep(catalog.Position{Era: page.Era, Revision: page.Revision}, key, body)
+			s.pages.put(catalog.Position{Era: page.Era, Revision: page.Revision}, key, body)
 		}
 		return body, err
 	})
--- a/internal/node/pages_test.go
+++ b/internal/node/pages_test.go
@@ -22,42 +22,45 @@
 	"sycamorekeel.example/sycamorekeel/internal/traffic"
 )
 
-// anyConfig decodes each item as a configuration, whose version rises from era to era.
-type anyConfig struct{}
+// stubDecoder decodes each item as a configuration whose version is higher in each
+// later era.
+type stubDecoder struct{}
 
-func (anyConfig) Kind(string) catalog.Kind { return catalog.Configuration }
+func (stubDecoder) Kind(string) catalog.Kind { return catalog.Configuration }
 
-func (anyConfig) Evacuated(string) string { return "" }
+func (stubDecoder) Evacuated(string) string { return "" }
 
-func (anyConfig) Config(it catalog.Item) (*routing.Config, error) {
+func (stubDecoder) Config(it catalog.Item) (*routing.Config, error) {
 	return &routing.Config{Version: it.Era<<32 + it.Revision}, nil
 }
 
-func (anyConfig) Upstream(catalog.Item) (catalog.Upstream, error) { return catalog.Upstream{}, nil }
+func (stubDecoder) Upstream(catalog.Item) (catalog.Upstream, error) { return catalog.Upstream{}, nil }
 
-// readerAt is a reader that holds each of some texts in turn, from revision 1 on.
-func readerAt(texts ...string) *reader {
+// newTestSyncer returns a syncer that has applied the given documents in turn, the
+// first at revision 1.
+func newTestSyncer(texts ...string) *catalogSyncer {
 	now := time.Now()
-	r := &reader{exchanged: func(traffic.Purpose, string, int) {},
-		log: zap.NewNop(), met: newStoreMetrics(prometheus.NewRegistry()),
-		follower: follow.New(now, follow.Options{VM: "a", Bound: time.Second, Decoder: anyConfig{}, Random: rand.New(rand.NewPCG(1, 1))}),
+	s := &catalogSyncer{countBytes: func(traffic.Purpose, string, int) {},
+		log: zap.NewNop(), met: newCatalogMetrics(prometheus.NewRegistry()),
+		follower: follow.New(now, follow.Options{VM: "a", Bound: time.Second, Decoder: stubDecoder{}, Random: rand.New(rand.NewPCG(1, 1))}),
 	}
 	for i, text := range texts {
 		revision := uint64(i + 1)
-		r.follower.State().Replace(now, catalog.Position{Revision: revision}, []catalog.Item{{Key: "c", Value: []byte(text), Revision: revision}})
+		s.follower.State().Replace(now, catalog.Position{Revision: revision}, []catalog.Item{{Key: "c", Value: []byte(text), Revision: revision}})
 	}
-	return r
+	return s
 }
 
-// change changes what a reader that serves peers knows.
-func (r *reader) change(f func(*catalog.State)) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	f(r.follower.State())
+// updateState modifies the catalog of a syncer that may be serving peers, under its
+// lock.
+func (s *catalogSyncer) updateState(f func(*catalog.State)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	f(s.follower.State())
 }
 
-// text is a document of some kilobytes; versions differ in a few bytes.
-func text(version int) string {
+// documentText returns a document of some kilobytes. Versions differ in a few bytes.
+func documentText(version int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "version %d\n", version)
 	random := rand.New(rand.NewPCG(7, 7))
@@ -67,8 +70,8 @@
 	return b.String()
 }
 
-// listen serves a handler on loopback and gives its address.
-func listen(t *testing.T, h fasthttp.RequestHandler) string {
+// serveLoopback serves a handler on the loopback interface and returns its address.
+func serveLoopback(t *testing.T, h fasthttp.RequestHandler) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -80,32 +83,33 @@
 	return ln.Addr().String()
 }
 
-func pullOf(address string, after uint64) follow.Pull {
+func pullFrom(address string, after uint64) follow.Pull {
 	return follow.Pull{ID: 1, Address: address, After: catalog.Position{Revision: after}, Stall: 10 * time.Second, Timeout: 10 * time.Second}
 }
 
-// A VM that holds a version which its peer has had is sent what changed; one that holds
-// nothing, or a version that the peer never had, is sent the whole.
-func TestAPageIsPackedAgainstWhatTheAskerHolds(t *testing.T) {
-	giver := readerAt(text(1), text(2), text(3))
+// A requester that holds a version which the server also has receives only the
+// difference. One that holds no version, or one that the server never had, receives the
+// whole document.
+func TestPageIsPackedAgainstRequesterDocument(t *testing.T) {
+	server := newTestSyncer(documentText(1), documentText(2), documentText(3))
 	var sent atomic.Int64
-	address := listen(t, func(ctx *fasthttp.RequestCtx) {
-		giver.serve(ctx)
+	address := serveLoopback(t, func(ctx *fasthttp.RequestCtx) {
+		server.servePeer(ctx)
 		sent.Store(int64(len(ctx.Response.Body())))
 	})
 	for _, c := range []struct {
-		name  string
-		asker *reader
-		after uint64
-		most  int64
+		name   string
+		client *catalogSyncer
+		after  uint64
+		most   int64
 	}{
-		{"a version before", readerAt(text(1), text(2)), 2, 300},
-		{"two versions before", readerAt(text(1)), 1, 300},
-		{"nothing", readerAt(), 0, int64(len(text(3)))},
-		{"a version that the peer never had", readerAt("other"), 1, int64(len(text(3)))},
+		{"previous version", newTestSyncer(documentText(1), documentText(2)), 2, 300},
+		{"two versions behind", newTestSyncer(documentText(1)), 1, 300},
+		{"nothing", newTestSyncer(), 0, int64(len(documentText(3)))},
+		{"version that the server never had", newTestSyncer("other"), 1, int64(len(documentText(3)))},
 	} {
-		page, err := c.asker.fetchCatalog(pullOf(address, c.after))
-		if err != nil || len(page.Items) != 1 || string(page.Items[0].Value) != text(3) {
+		page, err := c.client.fetchCatalog(pullFrom(address, c.after))
+		if err != nil || len(page.Items) != 1 || string(page.Items[0].Value) != documentText(3) {
 			t.Errorf("%s: %v", c.name, err)
 		}
 		if got := sent.Load(); got > c.most {
@@ -114,111 +118,112 @@
 	}
 }
 
-// While VMs are replaced one after the other, some run the release before: it asks without
-// naming a base and is answered plainly, and its own plain answers are read.
-func TestVMsOfTheReleaseBeforeAreUnderstood(t *testing.T) {
-	giver := readerAt(text(1), text(2))
-	address := listen(t, giver.serve)
-	status, body, err := fasthttp.Get(nil, "http://"+address+pullPath+"?after=1")
+// During a rolling upgrade some VMs run the previous release. It sends requests without
+// a base and must receive unpacked pages, and its own unpacked pages must be accepted.
+func TestPreviousReleaseCompatibility(t *testing.T) {
+	server := newTestSyncer(documentText(1), documentText(2))
+	address := serveLoopback(t, server.servePeer)
+	status, body, err := fasthttp.Get(nil, "http://"+address+catalogPath+"?after=1")
 	page := &pb.CatalogPage{}
 	if err != nil || status != fasthttp.StatusOK || proto.Unmarshal(body, page) != nil || len(page.Items) != 1 {
-		t.Errorf("an old asker: status %d, %v, %v", status, err, page)
+		t.Errorf("request from the previous release: status %d, %v, %v", status, err, page)
 	}
 
 	plain, err := proto.Marshal(page)
 	if err != nil {
 		t.Fatal(err)
 	}
-	old := listen(t, func(ctx *fasthttp.RequestCtx) { ctx.SetBody(plain) })
-	got, err := readerAt(text(1)).fetchCatalog(pullOf(old, 1))
+	old := serveLoopback(t, func(ctx *fasthttp.RequestCtx) { ctx.SetBody(plain) })
+	got, err := newTestSyncer(documentText(1)).fetchCatalog(pullFrom(old, 1))
 	if err != nil || !proto.Equal(got, page) {
-		t.Errorf("an old giver: %v", err)
+		t.Errorf("page from the previous release: %v", err)
 	}
 }
 
-// Symptom: a VM never gets past a version, though its peers have later ones.
-// Sequence: a page arrives that cannot be unpacked against what the VM holds.
-// Cause: it would name the same base again and get the same page.
-func TestAfterAnUnreadablePageTheWholeIsAskedFor(t *testing.T) {
-	giver := readerAt(text(1), text(2))
+// Guards against a VM that never advances past a version although its peers have later
+// ones: after a page that cannot be unpacked against the VM's document, a request with
+// the same base would return the same page.
+func TestUnreadablePageIsRequestedAgainWithoutBase(t *testing.T) {
+	server := newTestSyncer(documentText(1), documentText(2))
 	bases := make(chan string, 2)
-	address := listen(t, func(ctx *fasthttp.RequestCtx) {
+	address := serveLoopback(t, func(ctx *fasthttp.RequestCtx) {
 		base := string(ctx.QueryArgs().Peek(argBase))
 		bases <- base
-		giver.serve(ctx)
+		server.servePeer(ctx)
 		if base != "" {
 			ctx.SetBody(ctx.Response.Body()[:10])
 		}
 	})
-	asker := readerAt(text(1))
-	if _, err := asker.fetchCatalog(pullOf(address, 1)); !trace.IsBadParameter(err) {
-		t.Fatalf("a page cut short: %v", err)
+	client := newTestSyncer(documentText(1))
+	if _, err := client.fetchCatalog(pullFrom(address, 1)); !trace.IsBadParameter(err) {
+		t.Fatalf("truncated page: got error %v, want trace.BadParameter", err)
 	}
-	page, err := asker.fetchCatalog(pullOf(address, 1))
+	page, err := client.fetchCatalog(pullFrom(address, 1))
 	if err != nil || len(page.Items) != 1 {
-		t.Fatalf("the second: %v", err)
+		t.Fatalf("second request: %v", err)
 	}
 	if first, second := <-bases, <-bases; first == "" || second != "" {
-		t.Errorf("bases asked with: %q, %q", first, second)
+		t.Errorf("bases in requests: %q, %q", first, second)
 	}
 }
 
-// Guards against a page of the store's former history, kept packed, that is given to a peer
-// under the same revision of the next era.
-func TestAPackedPageOfAnEraThatIsOverIsNotGiven(t *testing.T) {
-	giver := readerAt(text(1), text(2))
-	address := listen(t, giver.serve)
-	ask := func(after catalog.Position) string {
-		page, err := readerAt().fetchCatalog(follow.Pull{ID: 1, Address: address, After: after, Stall: 10 * time.Second, Timeout: 10 * time.Second})
+// Guards against a cached page of the store's previous era that is served for the same
+// revision of the next era.
+func TestCachedPageOfPreviousEraIsNotServed(t *testing.T) {
+	server := newTestSyncer(documentText(1), documentText(2))
+	address := serveLoopback(t, server.servePeer)
+	fetchText := func(after catalog.Position) string {
+		page, err := newTestSyncer().fetchCatalog(follow.Pull{ID: 1, Address: address, After: after, Stall: 10 * time.Second, Timeout: 10 * time.Second})
 		if err != nil || len(page.Items) != 1 {
 			t.Fatalf("%v: %v", after, err)
 		}
 		return string(page.Items[0].Value)
 	}
-	if got := ask(catalog.Position{}); got != text(2) {
-		t.Fatal("not the newest version")
+	if got := fetchText(catalog.Position{}); got != documentText(2) {
+		t.Fatalf("got %.12q, want version 2", got)
 	}
 	for i, version := range []int{3, 4} {
 		revision := uint64(i + 1)
-		giver.change(func(s *catalog.State) {
+		server.updateState(func(s *catalog.State) {
 			s.Replace(time.Now(), catalog.Position{Era: 1, Revision: revision},
-				[]catalog.Item{{Key: "c", Value: []byte(text(version)), Era: 1, Revision: revision}})
+				[]catalog.Item{{Key: "c", Value: []byte(documentText(version)), Era: 1, Revision: revision}})
 		})
-		if got := ask(catalog.Position{}); got != text(version) {
-			t.Errorf("at revision %d of the next era: %.12q, want version %d", revision, got, version)
+		if got := fetchText(catalog.Position{}); got != documentText(version) {
+			t.Errorf("revision %d of the next era: got %.12q, want version %d", revision, got, version)
 		}
 	}
 }
 
-// Guards against a page of what a peer had made up, kept packed, that is given under the same
-// position once the store has come there.
-func TestAPackedPageOfWhatWasDisprovedIsNotGiven(t *testing.T) {
-	giver := readerAt(text(1), text(2))
-	giver.announce = func(catalog.Position, time.Time, *follow.Announce) {}
-	address := listen(t, giver.serve)
-	pull := pullOf(address, 0)
-	if _, err := readerAt().fetchCatalog(pull); err != nil {
+// Guards against a cached page of a position that a peer made up, which is served for
+// the same position after the store has reached it.
+func TestCachedPageOfDisprovedPositionIsNotServed(t *testing.T) {
+	server := newTestSyncer(documentText(1), documentText(2))
+	server.announce = func(catalog.Position, time.Time, *follow.Announce) {}
+	address := serveLoopback(t, server.servePeer)
+	pull := pullFrom(address, 0)
+	if _, err := newTestSyncer().fetchCatalog(pull); err != nil {
 		t.Fatal(err)
 	}
-	giver.change(func(s *catalog.State) { s.Discard(time.Now()) })
-	giver.do([]follow.Action{follow.Disproved{At: catalog.Position{Revision: 2}}}, catalog.Position{}, time.Time{})
-	giver.change(func(s *catalog.State) {
-		s.Replace(time.Now(), catalog.Position{Revision: 2}, []catalog.Item{{Key: "c", Value: []byte(text(3)), Revision: 2}})
+	server.updateState(func(s *catalog.State) { s.Discard(time.Now()) })
+	server.execute([]follow.Action{follow.Disproved{At: catalog.Position{Revision: 2}}}, catalog.Position{}, time.Time{})
+	server.updateState(func(s *catalog.State) {
+		s.Replace(time.Now(), catalog.Position{Revision: 2}, []catalog.Item{{Key: "c", Value: []byte(documentText(3)), Revision: 2}})
 	})
-	page, err := readerAt().fetchCatalog(pull)
-	if err != nil || len(page.Items) != 1 || string(page.Items[0].Value) != text(3) {
+	page, err := newTestSyncer().fetchCatalog(pull)
+	if err != nil || len(page.Items) != 1 || string(page.Items[0].Value) != documentText(3) {
 		t.Errorf("%v, %v", page.GetItems(), err)
 	}
 }
 
-// Each row is a question that is told to be wrong, and what it is answered.
-func TestQuestionsThatAreWrong(t *testing.T) {
-	address := listen(t, readerAt(text(1)).serve)
+// Requests with an invalid position or path are rejected with the status of their row;
+// an invalid base is ignored.
+func TestInvalidRequests(t *testing.T) {
+	address := serveLoopback(t, newTestSyncer(documentText(1)).servePeer)
 	for query, want := range map[string]int{
-		pullPath:                               fasthttp.StatusBadRequest,
-		pullPath + "?after=-1&packed=1":        fasthttp.StatusBadRequest,
-		pullPath + "?after=0&packed=1&base=zz": fasthttp.StatusOK,
-		"/other":                               fasthttp.StatusNotFound,
+		catalogPath:                               fasthttp.StatusBadRequest,
+		catalogPath + "?after=-1&packed=1":        fasthttp.StatusBadRequest,
+		catalogPath + "?after=0&packed=1&base=zz": fasthttp.StatusOK,
+		"/other": fasthttp.StatusNotFound,
 	} {
 		status, _, err := fasthttp.Get(nil, "http://"+address+query)
 		if err != nil || status != want {
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -9,86 +9,86 @@
 	"go.uber.org/zap"
 )
 
-// settingsPoll is how often the settings are read again: they may change without
-// a signal.
-const settingsPoll = 2 * time.Second
+// settingsPollInterval is the interval at which the settings are reloaded without a
+// signal, as they may change without one.
+const settingsPollInterval = 2 * time.Second
 
-// watchSettings reads the settings again at each signal and now and then. Faulty
-// settings are reported once and change nothing.
-func (n *Node) watchSettings(ctx context.Context) error {
-	t := time.NewTicker(settingsPoll)
+// watchSettings reloads the settings on each signal and periodically. Invalid settings
+// are ignored; their error is logged once, or again on a signal.
+func (d *Daemon) watchSettings(ctx context.Context) error {
+	t := time.NewTicker(settingsPollInterval)
 	defer t.Stop()
-	faulty := ""
+	lastError := ""
 	for {
 		signalled := false
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-n.reloads:
+		case <-d.reloadSignals:
 			signalled = true
 		case <-t.C:
 		}
-		set, err := n.load()
+		set, err := d.loadSettings()
 		switch {
 		case err == nil:
-			faulty = ""
-			n.apply(set, signalled)
-		case err.Error() != faulty || signalled:
-			faulty = err.Error()
-			n.log.Error("node: settings refused, the former stay in force", zap.Error(err))
+			lastError = ""
+			d.applySettings(set, signalled)
+		case err.Error() != lastError || signalled:
+			lastError = err.Error()
+			d.log.Error("node: invalid settings ignored, previous settings stay in force", zap.Error(err))
 		}
 	}
 }
 
-// apply puts settings in force. Addresses and the place of the VM stay as they
-// were at the start; a change of them is reported.
-func (n *Node) apply(set *Settings, signalled bool) {
-	old := n.set.Load()
+// applySettings puts new settings in force. Settings that only a restart can change
+// keep their values, and a warning is logged if they differ.
+func (d *Daemon) applySettings(set *Settings, signalled bool) {
+	old := d.settings.Load()
 	if reflect.DeepEqual(old, set) {
 		if signalled {
-			n.log.Info("node: settings read again, nothing changed")
+			d.log.Info("node: settings reloaded, no changes")
 		}
 		return
 	}
-	if fixed(old) != fixed(set) {
-		n.log.Warn("node: a change of name, place or addresses takes a restart")
+	if restartOnly(old) != restartOnly(set) {
+		d.log.Warn("node: changes of name, location or addresses require a restart")
 	}
 	merged := *set
-	merged.keepFixed(old)
-	n.set.Store(&merged)
-	n.engine.SetBudget(set.Budget)
-	n.reader.setBound(set.ChangeBound)
-	n.showCapacity()
-	n.log.Info("node: settings changed",
+	merged.keepRestartOnly(old)
+	d.settings.Store(&merged)
+	d.engine.SetBudget(set.Budget)
+	d.syncer.setBound(set.ChangeBound)
+	d.publishCapacity()
+	d.log.Info("node: settings changed",
 		zap.Duration("change_bound", set.ChangeBound), zap.Duration("grace", set.Grace),
 		zap.Float64("retry_ratio", set.Budget.Ratio), zap.Float64("retry_allowance", set.Budget.Allowance))
 }
 
-// fixedSettings is what stays as it was at the start.
-type fixedSettings struct {
+// restartOnlySettings holds the settings that only a restart can change.
+type restartOnlySettings struct {
 	vm, dataCentre, region                                        string
 	caller, ready, directory, peer, peerListen, metrics, platform string
 }
 
-func fixed(s *Settings) fixedSettings {
-	return fixedSettings{
+func restartOnly(s *Settings) restartOnlySettings {
+	return restartOnlySettings{
 		vm: s.VM, dataCentre: s.DataCentre, region: s.Region,
 		caller: s.CallerAddress, ready: s.ReadyAddress, directory: s.DirectoryAddress,
 		peer: s.PeerAddress, peerListen: s.PeerListen, metrics: s.MetricsAddress, platform: s.Store,
 	}
 }
 
-func (s *Settings) keepFixed(from *Settings) {
+func (s *Settings) keepRestartOnly(from *Settings) {
 	s.VM, s.DataCentre, s.Region = from.VM, from.DataCentre, from.Region
 	s.CallerAddress, s.ReadyAddress, s.DirectoryAddress = from.CallerAddress, from.ReadyAddress, from.DirectoryAddress
 	s.PeerAddress, s.PeerListen = from.PeerAddress, from.PeerListen
 	s.MetricsAddress, s.Store = from.MetricsAddress, from.Store
 }
 
-// Reloading is how a running node's settings change.
+// Reloading defines how the settings of a running daemon are reloaded.
 type Reloading struct {
-	// Load reads the settings anew.
+	// Load reads the current settings.
 	Load func() (*Settings, error)
-	// Signals asks for it at once.
+	// Signals triggers an immediate reload.
 	Signals <-chan os.Signal
 }
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -20,37 +20,42 @@
 )
 
 const (
-	// readBuffer is each connection's buffer and so the most bytes of a request's
-	// head: the 16 KiB that configurations allow and its first line.
-	readBuffer = 18 << 10
-	// smallBuffer is the buffer of connections that only carry small calls.
-	smallBuffer = 4 << 10
-	// callerIdle is how long a caller's connection may be idle: longer than any
-	// caller keeps one, so that no request meets a close on its way.
-	callerIdle = 5 * time.Minute
-	// headTimeout bounds the arrival of one request.
-	headTimeout = 10 * time.Second
-	// maxBody bounds a body before a configuration says less.
-	maxBody = 8 << 20
-	// callerShare is the part of the process's descriptors that callers'
-	// connections may use. Upstreams take the rest: each query sends to several.
-	callerShare = 0.4
-	// stopMargin is what is left of the grace for requests in flight once new
-	// ones are no longer taken.
-	stopMargin = 1300 * time.Millisecond
-	// endMargin is left for the process to end by itself.
-	endMargin = 200 * time.Millisecond
-	// ttlStretch is how many times its TTL some callers keep an answer of the
-	// directory.
-	ttlStretch = 3
-	// quietPoll is how often a stop looks whether anybody is still connected.
-	quietPoll = 100 * time.Millisecond
+	// callerReadBufferSize is the read buffer of a caller's connection and therefore
+	// the maximum size of a request's head: the 16 KiB that configurations allow plus
+	// the request line.
+	callerReadBufferSize = 18 << 10
+	// smallBufferSize is the buffer size of connections that only carry small messages.
+	smallBufferSize = 4 << 10
+	// callerIdleTimeout closes idle connections of callers. It is longer than any
+	// caller keeps an idle connection, so that no request arrives at a connection that
+	// is being closed.
+	callerIdleTimeout = 5 * time.Minute
+	// requestReadTimeout limits the time to read one request.
+	requestReadTimeout = 10 * time.Second
+	// maxBodyBytes limits a request's body; a configuration may set a lower limit.
+	maxBodyBytes = 8 << 20
+	// callerDescriptorShare is the fraction of the process's file descriptors available
+	// to callers' connections. Connections to upstreams use the rest, as each query is
+	// sent to several upstreams.
+	callerDescriptorShare = 0.4
+	// drainMargin is the part of the grace period reserved for requests in flight after
+	// the VM has stopped accepting new ones.
+	drainMargin = 1300 * time.Millisecond
+	// exitMargin is the part of the grace period reserved for the process to exit by
+	// itself.
+	exitMargin = 200 * time.Millisecond
+	// directoryTTLFactor is how many times its TTL some callers keep a directory
+	// answer.
+	directoryTTLFactor = 3
+	// drainPollInterval is the interval at which a shutdown checks for open connections
+	// of callers.
+	drainPollInterval = 100 * time.Millisecond
 )
 
-// directoryServer is the name of the server that tells callers which VMs to use.
+// directoryServer is the name of the server that handles directory lookups.
 const directoryServer = "directory"
 
-// server is one listener and what answers there.
+// server is an HTTP server and its listener.
 type server struct {
 	name string
 	ln   net.Listener
@@ -59,10 +64,10 @@
 
 func (s *server) serve() error { return s.http.Serve(s.ln) }
 
-// callerCount counts the open connections of callers.
-type callerCount struct{ open atomic.Int64 }
+// connCounter counts callers' open connections.
+type connCounter struct{ open atomic.Int64 }
 
-func (c *callerCount) state(_ net.Conn, s fasthttp.ConnState) {
+func (c *connCounter) onStateChange(_ net.Conn, s fasthttp.ConnState) {
 	switch s {
 	case fasthttp.StateNew:
 		c.open.Add(1)
@@ -71,84 +76,86 @@
 	}
 }
 
-// httpLog takes in what the HTTP library has to say of connections. Left to its
-// own logger, its lines would go to standard error, without a bound, and hold up
-// whoever writes them once nobody reads there.
-type httpLog struct {
+// httpLogger forwards fasthttp's log lines to zap. By default they go to standard error
+// without a rate limit, and the writer blocks if standard error is not read.
+type httpLogger struct {
 	log    *zap.Logger
 	server string
 }
 
 // Printf implements fasthttp.Logger.
-func (l httpLog) Printf(format string, args ...any) {
+func (l httpLogger) Printf(format string, args ...any) {
 	l.log.Info("http: "+fmt.Sprintf(format, args...), zap.String("server", l.server))
 }
 
-// listen opens every listener. The caller's is first.
-func (n *Node) listen() ([]*server, error) {
-	handler := n.adapter.Callers(n.engine, n.leaving.Load)
+// listen creates all servers and opens their listeners. The first server is the one for
+// callers.
+func (d *Daemon) listen() ([]*server, error) {
+	handler := d.adapter.Callers(d.engine, d.leaving.Load)
 	callers := &fasthttp.Server{
 		Handler:                      handler.Handle,
 		ErrorHandler:                 handler.Fault,
-		Logger:                       httpLog{n.logs.Failures, "callers"},
-		Concurrency:                  callerConnections(n.set.Load().Descriptors),
-		ReadBufferSize:               readBuffer,
-		WriteBufferSize:              smallBuffer,
-		MaxRequestBodySize:           maxBody,
-		ReadTimeout:                  headTimeout,
-		IdleTimeout:                  callerIdle,
-		ConnState:                    n.callers.state,
+		Logger:                       httpLogger{d.logs.Failures, "callers"},
+		Concurrency:                  maxCallerConns(d.settings.Load().Descriptors),
+		ReadBufferSize:               callerReadBufferSize,
+		WriteBufferSize:              smallBufferSize,
+		MaxRequestBodySize:           maxBodyBytes,
+		ReadTimeout:                  requestReadTimeout,
+		IdleTimeout:                  callerIdleTimeout,
+		ConnState:                    d.callerConns.onStateChange,
 		NoDefaultContentType:         true,
 		NoDefaultDate:                true,
 		DisablePreParseMultipartForm: true,
 		ReduceMemoryUsage:            true,
 	}
-	out := []*server{{name: "callers", http: httpserver.New(callers)}}
-	addresses := []string{n.set.Load().CallerAddress}
+	servers := []*server{{name: "callers", http: httpserver.New(callers)}}
+	addresses := []string{d.settings.Load().CallerAddress}
 	add := func(name, address string, h fasthttp.RequestHandler) {
-		small := &fasthttp.Server{Handler: h, Logger: httpLog{n.logs.Failures, name}, ReadBufferSize: smallBuffer, WriteBufferSize: smallBuffer, IdleTimeout: callerIdle, ReadTimeout: headTimeout, ReduceMemoryUsage: true}
-		out = append(out, &server{name: name, http: httpserver.New(small)})
+		small := &fasthttp.Server{Handler: h, Logger: httpLogger{d.logs.Failures, name}, ReadBufferSize: smallBufferSize, WriteBufferSize: smallBufferSize, IdleTimeout: callerIdleTimeout, ReadTimeout: requestReadTimeout, ReduceMemoryUsage: true}
+		servers = append(servers, &server{name: name, http: httpserver.New(small)})
 		addresses = append(addresses, address)
 	}
-	add("ready", n.set.Load().ReadyAddress, n.adapter.Ready(n.ready))
-	add(directoryServer, n.set.Load().DirectoryAddress, n.adapter.Directory(n.choose, n.set.Load().directoryTTL()))
-	add("peers", n.set.Load().peerListen(), n.reader.serve)
-	add("metrics", n.set.Load().MetricsAddress, fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(n.registry, promhttp.HandlerOpts{})))
-	for i, s := range out {
+	add("ready", d.settings.Load().ReadyAddress, d.adapter.Ready(d.ready))
+	add(directoryServer, d.settings.Load().DirectoryAddress, d.adapter.Directory(d.chooseVMs, d.settings.Load().directoryTTL()))
+	add("peers", d.settings.Load().peerListen(), d.syncer.servePeer)
+	add("metrics", d.settings.Load().MetricsAddress, fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(d.registry, promhttp.HandlerOpts{})))
+	for i, s := range servers {
 		ln, err := net.Listen("tcp", addresses[i])
 		if err != nil {
-			return nil, trace.Wrap(err, "%s", s.name)
+			return nil, trace.Wrap(err, "cannot listen for server %q", s.name)
 		}
 		if s.name == directoryServer {
-			ln = n.traffic.Listener(ln, traffic.Directory)
+			ln = d.traffic.Listener(ln, traffic.Directory)
 		}
 		s.ln = ln
 	}
-	return out, nil
+	return servers, nil
 }
 
-// callerConnections is the most connections of callers at a time. Beyond it a
-// connection is answered 503 and closed; without it a flood of them would use up
-// the descriptors, and connections to upstreams could no longer be opened.
-func callerConnections(descriptors int) int {
-	return max(1, int(callerShare*float64(descriptors)))
+// maxCallerConns returns the maximum number of concurrent connections of callers.
+// Further connections are answered with status 503 and closed; without this limit, a
+// flood of connections would use up the file descriptors, and no connection to an
+// upstream could be opened.
+func maxCallerConns(descriptors int) int {
+	return max(1, int(callerDescriptorShare*float64(descriptors)))
 }
 
-// placementBounds is what an answer of the directory holds.
-func (n *Node) placementBounds() placement.Bounds {
+// placementBounds returns the limits on the size of a directory answer.
+func (d *Daemon) placementBounds() placement.Bounds {
 	const (
-		// most is the most VMs of an answer that callers read.
+		// most is the maximum number of VMs in an answer that callers read.
 		most = 64
-		// least lets a caller go on while two VMs are lost.
+		// least lets a caller continue after the loss of two VMs.
 		least = 3
-		// work is what the callers of one region may need, in thousandths of a
-		// core.
+		// work is the capacity that the callers of one region may need, in thousandths
+		// of a core.
 		work = 1000
 	)
-	return placement.Bounds{Most: most, Least: least, Work: work, Upstreams: *n.upstreams.Load()}
+	return placement.Bounds{Most: most, Least: least, Work: work, Upstreams: *d.upstreamCounts.Load()}
 }
 
-// countUpstreams is how many upstreams each data centre has, 0 where it is evacuated.
+// countUpstreams returns the number of upstreams per data centre. Evacuated data
+// centres are omitted and so count as 0.
 func countUpstreams(v *catalog.View) map[string]int {
 	out := map[string]int{}
 	for _, u := range v.Upstreams {
@@ -159,37 +166,38 @@
 	return out
 }
 
-// stop ends the VM's service without cutting a request off: callers learn that
-// it leaves from the directory and from each answer, and those that have not yet
-// are served until what they know has run out.
-func (n *Node) stop(servers []*server) {
-	began := time.Now()
-	n.leaving.Store(true)
-	n.log.Info("node: stopping", zap.Int64("in_flight", n.engine.InFlight()), zap.Int64("connections", n.callers.open.Load()))
-	n.showCapacity()
-	n.gossip.Leave()
-	serveUntil := began.Add(n.set.Load().servesOn())
-	quietFrom := began.Add(ttlStretch * n.set.Load().directoryTTL())
-	for now := time.Now(); now.Before(serveUntil); now = time.Now() {
-		if now.After(quietFrom) && n.callers.open.Load() == 0 {
+// shutdown stops the VM's service without cutting off a request. Callers learn from the
+// directory and from each response that the VM is leaving. Meanwhile it accepts new
+// requests for the drain period, or until the directory answers that callers hold have
+// expired and no caller is connected.
+func (d *Daemon) shutdown(servers []*server) {
+	start := time.Now()
+	d.leaving.Store(true)
+	d.log.Info("node: stopping", zap.Int64("in_flight", d.engine.InFlight()), zap.Int64("connections", d.callerConns.open.Load()))
+	d.publishCapacity()
+	d.gossip.Leave()
+	drainEnd := start.Add(d.settings.Load().drainPeriod())
+	answersExpired := start.Add(directoryTTLFactor * d.settings.Load().directoryTTL())
+	for now := time.Now(); now.Before(drainEnd); now = time.Now() {
+		if now.After(answersExpired) && d.callerConns.open.Load() == 0 {
 			break
 		}
-		time.Sleep(quietPoll)
+		time.Sleep(drainPollInterval)
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(n.set.Load().Grace-endMargin))
+	ctx, cancel := context.WithDeadline(context.Background(), start.Add(d.settings.Load().Grace-exitMargin))
 	defer cancel()
 	if err := servers[0].http.Shutdown(ctx); err != nil {
-		n.log.Warn("node: stopped with requests in flight", zap.Int64("in_flight", n.engine.InFlight()), zap.Error(err))
+		d.log.Warn("node: stopped with requests in flight", zap.Int64("in_flight", d.engine.InFlight()), zap.Error(err))
 	}
-	n.engine.Close()
+	d.engine.Close()
 }
 
-// closeAll closes the listeners that are still open.
+// closeAll closes the servers that are still open.
 func closeAll(servers []*server) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	for _, s := range servers {
-		// The process ends: what is still open ends with it.
+		// The process is about to exit, which closes whatever remains open.
 		_ = s.http.Shutdown(ctx)
 	}
 }
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -6,7 +6,7 @@
 	"sycamorekeel.example/sycamorekeel/internal/retrybudget"
 )
 
-// Settings is what one VM's process is told.
+// Settings holds the settings of one VM's daemon.
 type Settings struct {
 	// VM is the VM's name, unique in the fleet.
 	VM         string
@@ -14,47 +14,48 @@
 	Region     string
 	// Regions maps each data centre to its region.
 	Regions map[string]string
-	// FirstStart is set only when the whole system starts for the first time.
+	// FirstStart is set only if the whole system starts for the first time.
 	FirstStart bool
 
-	// Addresses are IP and port; an empty one is not served.
+	// Addresses have the form IP:port.
 
-	// CallerAddress takes callers' requests.
+	// CallerAddress serves callers' requests.
 	CallerAddress string
-	// ReadyAddress tells the platform whether this VM is ready.
+	// ReadyAddress serves the platform's readiness checks.
 	ReadyAddress string
-	// DirectoryAddress tells callers which VMs to use.
+	// DirectoryAddress serves directory lookups: which VMs a caller should use.
 	DirectoryAddress string
-	// PeerAddress takes the other VMs' datagrams (UDP) and pulls (TCP).
+	// PeerAddress receives the other VMs' datagrams (UDP) and pulls (TCP).
 	PeerAddress string
-	// PeerListen is where PeerAddress is listened on when a forwarder stands
-	// before it; empty when it is PeerAddress itself.
+	// PeerListen is the address to listen on if a forwarder in front of this VM owns
+	// PeerAddress; empty to listen on PeerAddress itself.
 	PeerListen string
 	// MetricsAddress serves metrics.
 	MetricsAddress string
-	// Seeds are peer addresses of a few VMs, which may be down.
+	// Seeds are the peer addresses of a few VMs, which may be down.
 	Seeds []string
 	// Store is the address of the platform's store.
 	Store string
 
-	// Cores is the part of a core that the process has.
+	// Cores is the number of cores available to the process and may be a fraction.
 	Cores float64
-	// MemoryBytes is the most that the process may use.
+	// MemoryBytes is the memory limit of the process.
 	MemoryBytes int64
-	// Descriptors is the most files and sockets that may be open.
+	// Descriptors is the maximum number of open files and sockets.
 	Descriptors int
 
 	// ChangeBound is the time within which a published change must be in force.
 	ChangeBound time.Duration
-	// Grace is the time between the signal to stop and the end.
+	// Grace is the time between the signal to stop and the end of the process.
 	Grace time.Duration
-	// MaxTTL is the longest that callers may keep an answer of the directory.
+	// MaxTTL is the longest time for which callers may keep a directory answer.
 	MaxTTL time.Duration
-	// Budget bounds extra sends to a service over all VMs.
+	// Budget limits the additional requests (retries and hedges) to a service over all
+	// VMs.
 	Budget retrybudget.Limit
 }
 
-// peerListen is the address to listen on for peers.
+// peerListen returns the address to listen on for peers.
 func (s *Settings) peerListen() string {
 	if s.PeerListen != "" {
 		return s.PeerListen
@@ -62,12 +63,12 @@
 	return s.PeerAddress
 }
 
-// servesOn is how long a VM that is stopped takes new requests.
-func (s *Settings) servesOn() time.Duration { return max(s.Grace-stopMargin, 0) }
+// drainPeriod is how long a VM that is shutting down accepts new requests.
+func (s *Settings) drainPeriod() time.Duration { return max(s.Grace-drainMargin, 0) }
 
-// directoryTTL is how long callers may keep an answer of the directory: shorter
-// than a VM that is stopped serves on, so that none who keeps to it meets a VM
-// that has gone.
+// directoryTTL returns the TTL of directory answers. It does not exceed the drain
+// period unless that is shorter than minDirectoryTTL, so that a caller that respects
+// the TTL never connects to a VM that has stopped.
 func (s *Settings) directoryTTL() time.Duration {
-	return min(directoryTTL, s.MaxTTL, max(s.servesOn(), leastTTL))
+	return min(maxDirectoryTTL, s.MaxTTL, max(s.drainPeriod(), minDirectoryTTL))
 }
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -5,24 +5,23 @@
 	"time"
 )
 
-// Symptom: callers find no connection to a VM that was stopped as planned.
-// Sequence: a caller asks the directory just before the stop and keeps the answer
-// for its time to live; the VM serves on for less.
-// Cause: the two times had nothing to do with each other.
-func TestAnswersOfTheDirectoryDoNotOutliveAStop(t *testing.T) {
+// Guards against callers that cannot connect to a VM after a planned stop: a directory
+// answer given just before the stop must not have a longer TTL than the VM's drain
+// period.
+func TestDirectoryTTLDoesNotExceedDrainPeriod(t *testing.T) {
 	for _, c := range []struct {
-		name               string
-		grace, most, wants time.Duration
+		name                string
+		grace, maxTTL, want time.Duration
 	}{
-		{"the usual grace", 6 * time.Second, 5 * time.Second, 4500 * time.Millisecond},
-		{"a short grace", 4 * time.Second, 5 * time.Second, 2700 * time.Millisecond},
-		{"callers may keep less", 6 * time.Second, 2 * time.Second, 2 * time.Second},
-		{"no grace", 0, 5 * time.Second, time.Second},
-		{"a long grace", time.Minute, time.Minute, 4500 * time.Millisecond},
+		{"usual grace period", 6 * time.Second, 5 * time.Second, 4500 * time.Millisecond},
+		{"short grace period", 4 * time.Second, 5 * time.Second, 2700 * time.Millisecond},
+		{"lower maximum TTL", 6 * time.Second, 2 * time.Second, 2 * time.Second},
+		{"no grace period", 0, 5 * time.Second, time.Second},
+		{"long grace period", time.Minute, time.Minute, 4500 * time.Millisecond},
 	} {
-		s := &Settings{Grace: c.grace, MaxTTL: c.most}
-		if got := s.directoryTTL(); got != c.wants {
-			t.Errorf("%s: %v, want %v", c.name, got, c.wants)
+		s := &Settings{Grace: c.grace, MaxTTL: c.maxTTL}
+		if got := s.directoryTTL(); got != c.want {
+			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/node/stall.go
+++ b/internal/node/stall.go
@@ -7,46 +7,48 @@
 	"github.com/gravitational/trace"
 )
 
-// stallConn fails a read of which nothing has come for a while. With a deadline for the
-// whole answer alone, either a dead peer is waited for as long as a large page may take,
-// or a large page over a slow link is cut off while it is coming.
-type stallConn struct {
+// idleTimeoutConn fails a read if no data arrives for idleTimeout. With only a deadline
+// for the whole response, a dead peer would be waited for as long as a large page may
+// take, or a large page over a slow link would be cut off during the transfer.
+type idleTimeoutConn struct {
 	net.Conn
-	stall time.Duration
-	now   func() time.Time
-	// whole is the deadline of the whole answer, zero for none.
-	whole time.Time
+	idleTimeout time.Duration
+	now         func() time.Time
+	// deadline is the deadline of the whole response, zero for none.
+	deadline time.Time
 }
 
-// dialStalling opens a connection to a peer that must answer within the stall time.
-func dialStalling(address string, stall time.Duration) (net.Conn, error) {
-	conn, err := net.DialTimeout("tcp", address, stall)
+// dialWithIdleTimeout connects to a peer. Connecting and each read fail after the idle
+// timeout.
+func dialWithIdleTimeout(address string, idleTimeout time.Duration) (net.Conn, error) {
+	conn, err := net.DialTimeout("tcp", address, idleTimeout)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return &stallConn{Conn: conn, stall: stall, now: time.Now}, nil
+	return &idleTimeoutConn{Conn: conn, idleTimeout: idleTimeout, now: time.Now}, nil
 }
 
 // Read implements net.Conn.
-func (c *stallConn) Read(b []byte) (int, error) {
-	deadline := c.now().Add(c.stall)
-	if !c.whole.IsZero() && c.whole.Before(deadline) {
-		deadline = c.whole
+func (c *idleTimeoutConn) Read(b []byte) (int, error) {
+	readDeadline := c.now().Add(c.idleTimeout)
+	if !c.deadline.IsZero() && c.deadline.Before(readDeadline) {
+		readDeadline = c.deadline
 	}
-	if err := c.Conn.SetReadDeadline(deadline); err != nil {
+	if err := c.Conn.SetReadDeadline(readDeadline); err != nil {
 		return 0, trace.Wrap(err)
 	}
 	return c.Conn.Read(b)
 }
 
-// SetReadDeadline implements net.Conn: the deadline is that of the whole answer.
-func (c *stallConn) SetReadDeadline(t time.Time) error {
-	c.whole = t
+// SetReadDeadline implements net.Conn. It sets the deadline of the whole response.
+func (c *idleTimeoutConn) SetReadDeadline(t time.Time) error {
+	c.deadline = t
 	return nil
 }
 
-// SetDeadline implements net.Conn.
-func (c *stallConn) SetDeadline(t time.Time) error {
-	c.whole = t
+// SetDeadline implements net.Conn. It sets the write deadline and the deadline of the
+// whole response.
+func (c *idleTimeoutConn) SetDeadline(t time.Time) error {
+	c.deadline = t
 	return trace.Wrap(c.Conn.SetWriteDeadline(t))
 }
--- a/internal/node/traffic.go
+++ b/internal/node/traffic.go
@@ -9,29 +9,32 @@
 	"sycamorekeel.example/sycamorekeel/internal/traffic"
 )
 
-// trafficEvery is how often the bytes exchanged are logged: what a VM that is lost had
-// counted since its last line is missing from the sum of a fleet's logs.
-const trafficEvery = 5 * time.Second
+// trafficLogInterval is the interval between log lines about traffic. The bytes that a
+// VM counted after its last line before a crash are missing from the sum over a fleet's
+// logs.
+const trafficLogInterval = 5 * time.Second
 
-// logTraffic logs now and then what was exchanged since the last time.
-func (n *Node) logTraffic(ctx context.Context) error {
-	t := time.NewTicker(trafficEvery)
+// logTraffic periodically logs the traffic since the previous line, and once more when
+// ctx is done.
+func (d *Daemon) logTraffic(ctx context.Context) error {
+	t := time.NewTicker(trafficLogInterval)
 	defer t.Stop()
-	var told traffic.Counts
+	var logged traffic.Counts
 	for {
 		select {
 		case <-ctx.Done():
-			n.tellTraffic(told)
+			d.logTrafficSince(logged)
 			return nil
 		case <-t.C:
-			told = n.tellTraffic(told)
+			logged = d.logTrafficSince(logged)
 		}
 	}
 }
 
-// tellTraffic logs what was exchanged above what was told before.
-func (n *Node) tellTraffic(told traffic.Counts) traffic.Counts {
-	counts := n.traffic.Counts()
-	n.log.Info(traffic.Message, zap.Bool(traffic.FieldCarrying, n.carrying.Load()), zap.Inline(counts.Minus(told)))
+// logTrafficSince logs the traffic above the counts in previous and returns the current
+// counts.
+func (d *Daemon) logTrafficSince(previous traffic.Counts) traffic.Counts {
+	counts := d.traffic.Counts()
+	d.log.Info(traffic.Message, zap.Bool(traffic.FieldCarrying, d.carrying.Load()), zap.Inline(counts.Minus(previous)))
 	return counts
 }
--- a/internal/node/warnings.go
+++ b/internal/node/warnings.go
@@ -8,36 +8,36 @@
 	"go.uber.org/zap"
 )
 
-// maxWarned bounds the warnings that are remembered.
-const maxWarned = 256
+// maxRememberedWarnings limits the logged warnings that are remembered.
+const maxRememberedWarnings = 256
 
-// warnings tells once of each fault of what operators have published that does not keep it
-// from being in force.
-type warnings struct {
+// warningLog logs each fault of a published item once if the fault does not keep the
+// item from being in force.
+type warningLog struct {
 	log     *zap.Logger
 	counter prometheus.Counter
 
-	mu   sync.Mutex
-	told map[string]bool
+	mu     sync.Mutex
+	logged map[string]bool
 }
 
-func newWarnings(log *zap.Logger, reg prometheus.Registerer) *warnings {
-	return &warnings{log: log, told: map[string]bool{}, counter: promauto.With(reg).NewCounter(prometheus.CounterOpts{
+func newWarningLog(log *zap.Logger, reg prometheus.Registerer) *warningLog {
+	return &warningLog{log: log, logged: map[string]bool{}, counter: promauto.With(reg).NewCounter(prometheus.CounterOpts{
 		Name: "sycamorekeel_catalog_warnings_total", Help: "Faults of published items that do not keep these from being in force.",
 	})}
 }
 
-// warn counts a fault, and logs it unless it was told before.
-func (w *warnings) warn(fault string, fields ...zap.Field) {
+// warn counts a fault, and logs it unless it is remembered as logged.
+func (w *warningLog) warn(fault string, fields ...zap.Field) {
 	w.counter.Inc()
 	w.mu.Lock()
-	told := w.told[fault]
-	if len(w.told) >= maxWarned {
-		clear(w.told)
+	alreadyLogged := w.logged[fault]
+	if len(w.logged) >= maxRememberedWarnings {
+		clear(w.logged)
 	}
-	w.told[fault] = true
+	w.logged[fault] = true
 	w.mu.Unlock()
-	if !told {
+	if !alreadyLogged {
 		w.log.Warn("config: "+fault, fields...)
 	}
 }
--- a/internal/node/warnings_test.go
+++ b/internal/node/warnings_test.go
@@ -10,18 +10,18 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// Guards against a fault of the configuration that fills the log with each version.
-func TestAWarningIsToldOnce(t *testing.T) {
+// Guards against a fault in the configuration that is logged again with each version.
+func TestWarningIsLoggedOnce(t *testing.T) {
 	core, lines := observer.New(zapcore.DebugLevel)
-	w := newWarnings(zap.New(core), prometheus.NewRegistry())
+	w := newWarningLog(zap.New(core), prometheus.NewRegistry())
 	for range 20 {
-		w.warn("routes[0].home_regions[0]: is no region that the settings name")
+		w.warn("routes[0].home_regions[0]: region is not in the settings")
 	}
 	w.warn("another")
 	if n := lines.Len(); n != 2 {
-		t.Errorf("%d lines", n)
+		t.Errorf("logged %d lines, want 2", n)
 	}
 	if n := testutil.ToFloat64(w.counter); n != 21 {
-		t.Errorf("counted %v", n)
+		t.Errorf("counted %v faults, want 21", n)
 	}
 }
