--- a/internal/homeset/homeset.go
+++ b/internal/homeset/homeset.go
@@ -1,7 +1,9 @@
-// Package homeset decides which VMs serve a customer: its home set. It is a
-// pure function of the published list of VMs, so that VMs with the same
-// revision agree without a message. Gossip has no part in it: views of liveness
-// differ in a partition, and the shares of a limit must not.
+// Package homeset assigns each customer its home set, the VMs that serve it.
+//
+// The assignment is a pure function of the published list of VMs, so all VMs on
+// the same revision compute the same sets without communicating. It ignores the
+// liveness reported by gossip: VMs in a network partition disagree about liveness
+// but must agree on how a customer's limit is divided.
 package homeset
 
 import (
@@ -15,32 +17,33 @@
 )
 
 const (
-	// RatePerVM is the contracted rate, in requests a second, for which a
-	// customer gets one more home VM.
+	// RatePerVM is the contracted rate, in requests per second, covered by each
+	// home VM.
 	RatePerVM = 100
-	// MinVMs is the least size of a home set where the list allows it: one VM
-	// may be lost and another one replaced while the third still serves.
+	// MinVMs is the minimum size of a home set if the fleet is large enough.
+	// With 3 VMs, one can fail and another be replaced while the third serves.
 	MinVMs = 3
 )
 
-// Size is the number of home VMs of a customer with the total contracted rate,
-// in requests a second, in a fleet of vms.
+// Size returns the number of home VMs of a customer with the given total
+// contracted rate, in requests per second, in a fleet of vms VMs.
 func Size(rate float64, vms int) int {
 	k := int(math.Min(math.Ceil(rate/RatePerVM), float64(vms)))
 	return min(max(k, MinVMs), vms)
 }
 
-// Set is a customer's home VMs, in an order that all VMs agree on.
+// Set is the home set of one customer. The order of the VMs is the same on all
+// VMs of the fleet.
 type Set struct {
 	VMs []*pb.VM
 }
 
-// Contains tells whether the VM is in the set.
+// Contains reports whether the VM with this id is in the set.
 func (s Set) Contains(vm string) bool {
 	return s.Index(vm) >= 0
 }
 
-// Index is the VM's place in the set, -1 when it is outside.
+// Index returns the position of the VM in the set, or -1 if it is not a member.
 func (s Set) Index(vm string) int {
 	for i, v := range s.VMs {
 		if v.Id == vm {
@@ -50,7 +53,7 @@
 	return -1
 }
 
-// Names is the ids of the VMs, in the order of the set.
+// Names returns the ids of the VMs in set order.
 func (s Set) Names() []string {
 	out := make([]string, len(s.VMs))
 	for i, v := range s.VMs {
@@ -59,14 +62,14 @@
 	return out
 }
 
-// Chooser chooses home sets from one published list.
+// Chooser computes home sets from one version of the published list of VMs.
 type Chooser struct {
 	vms    []*pb.VM
 	hashes []uint64
 }
 
-// NewChooser takes the VMs of the list that are live. Of two entries with one
-// id the first counts.
+// NewChooser returns a Chooser over the LIVE VMs of the list. If an id occurs
+// more than once, the first live entry is used.
 func NewChooser(list []*pb.VM) *Chooser {
 	c := &Chooser{}
 	seen := make(map[string]bool, len(list))
@@ -81,60 +84,65 @@
 	return c
 }
 
-// Choose is the home set of a customer with the total contracted rate. Each
-// place goes to the VM with the highest rendezvous weight among those whose
-// region, data centre and rack hold the fewest of the set so far: a lost rack
-// or data centre takes as small a part of the set as it can.
+// Choose returns the home set of a customer with the given total contracted
+// rate. It picks VMs one by one: the next VM is the one whose region, then data
+// centre, then rack contain the fewest VMs picked so far, and among equals the
+// one with the highest rendezvous weight. The loss of a rack or data centre
+// thus removes as few VMs of the set as possible.
 func (c *Chooser) Choose(customer string, rate float64) Set {
 	ranked := c.rank(customer)
 	k := Size(rate, len(ranked))
 	if k == len(ranked) {
 		return Set{VMs: ranked}
 	}
-	used := map[place]int{}
+	picked := map[failureDomain]int{}
 	set := Set{VMs: make([]*pb.VM, 0, k)}
 	taken := make([]bool, len(ranked))
 	for len(set.VMs) < k {
-		i := leastUsed(ranked, taken, used)
+		i := leastPicked(ranked, taken, picked)
 		taken[i] = true
 		set.VMs = append(set.VMs, ranked[i])
-		for _, p := range places(ranked[i]) {
-			used[p]++
+		for _, d := range failureDomains(ranked[i]) {
+			picked[d]++
 		}
 	}
 	return set
 }
 
-// place is a region, a data centre or a rack, by the names down to it.
-type place struct{ region, dataCentre, rack string }
+// failureDomain identifies a region, a data centre or a rack by its name and the
+// names of the domains that contain it.
+type failureDomain struct{ region, dataCentre, rack string }
 
-// places is what a VM shares its fate with, widest first.
-func places(vm *pb.VM) [3]place {
-	return [3]place{
+// failureDomains returns the region, data centre and rack of a VM. The slash
+// distinguishes a rack without a name from its data centre.
+func failureDomains(vm *pb.VM) [3]failureDomain {
+	return [3]failureDomain{
 		{region: vm.Region},
 		{region: vm.Region, dataCentre: vm.DataCentre},
 		{region: vm.Region, dataCentre: vm.DataCentre, rack: "/" + vm.Rack},
 	}
 }
 
-// leastUsed is the first VM of the ranking whose places are least used.
-func leastUsed(ranked []*pb.VM, taken []bool, used map[place]int) int {
-	best, bestUse := -1, [3]int{}
+// leastPicked returns the index of the first VM of the ranking, among those not
+// taken, whose failure domains contain the fewest picked VMs.
+func leastPicked(ranked []*pb.VM, taken []bool, picked map[failureDomain]int) int {
+	best, bestCounts := -1, [3]int{}
 	for i, vm := range ranked {
 		if taken[i] {
 			continue
 		}
-		use := [3]int{}
-		for j, p := range places(vm) {
-			use[j] = used[p]
+		counts := [3]int{}
+		for j, d := range failureDomains(vm) {
+			counts[j] = picked[d]
 		}
-		if best < 0 || less(use, bestUse) {
-			best, bestUse = i, use
+		if best < 0 || less(counts, bestCounts) {
+			best, bestCounts = i, counts
 		}
 	}
 	return best
 }
 
+// less compares a and b lexicographically.
 func less(a, b [3]int) bool {
 	for i := range a {
 		if a[i] != b[i] {
@@ -144,7 +152,8 @@
 	return false
 }
 
-// rank orders the VMs by rendezvous weight, the highest first.
+// rank returns the VMs in descending order of their rendezvous weight for the
+// customer, with ties broken by id.
 func (c *Chooser) rank(customer string) []*pb.VM {
 	key := xxhash.Sum64String(customer)
 	weights := make(map[string]uint64, len(c.vms))
--- a/internal/homeset/homeset_test.go
+++ b/internal/homeset/homeset_test.go
@@ -11,7 +11,8 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// fleet is n VMs over regions of two data centres with two racks each.
+// fleet returns n VMs distributed over the given number of regions, each with two
+// data centres of two racks.
 func fleet(n, regions int) []*pb.VM {
 	var out []*pb.VM
 	for i := range n {
@@ -35,10 +36,9 @@
 	}
 }
 
-// Symptom: VMs that hold the same list divide a limit differently.
-// Sequence: the list is read in another order, with an entry twice.
-// Cause: a choice that depends on the order of the list.
-func TestOrderOfTheListDoesNotMatter(t *testing.T) {
+// Guards against VMs with the same list dividing a limit differently because the
+// choice depends on the order of the list or on a repeated entry.
+func TestListOrderDoesNotMatter(t *testing.T) {
 	g := NewWithT(t)
 	list := fleet(9, 3)
 	shuffled := append([]*pb.VM{list[4]}, list...)
@@ -51,16 +51,15 @@
 	}
 }
 
-func TestLeavingVMsAreLeftOut(t *testing.T) {
+func TestLeavingVMsAreExcluded(t *testing.T) {
 	list := fleet(4, 1)
 	list[2].State = pb.VMState_VM_LEAVING
 	set := homeset.NewChooser(list).Choose("c", 1e6)
 	NewWithT(t).Expect(set.Names()).To(ConsistOf("vm-0", "vm-1", "vm-3"))
 }
 
-// Symptom: a customer loses all its home VMs with one data centre.
-// Sequence: the VMs with the highest weights stand in one rack.
-// Cause: choosing by weight alone.
+// Guards against a customer that loses all home VMs with one data centre: by
+// weight alone, the highest-ranked VMs may all be in one rack.
 func TestSpreadOverRegionsDataCentresAndRacks(t *testing.T) {
 	g := NewWithT(t)
 	for _, regions := range []int{1, 2, 3} {
@@ -73,28 +72,29 @@
 				count["2 "+vm.DataCentre]++
 				count["4 "+vm.Rack]++
 			}
-			for where, n := range count {
-				// A region holds 1 of itself, 2 data centres, 4 racks.
-				groups := regions * int(where[0]-'0')
-				g.Expect(n).To(BeNumerically("<=", (6+groups-1)/groups), where)
+			for domain, n := range count {
+				// The digit is the number of such domains in a region:
+				// 1 region, 2 data centres, 4 racks.
+				domains := regions * int(domain[0]-'0')
+				g.Expect(n).To(BeNumerically("<=", (6+domains-1)/domains), domain)
 			}
 		}
 	}
 }
 
-// Symptom: replacing one VM moves customers that never used it.
-// Sequence: one VM of 48 leaves the list.
-// Cause: a choice that is not stable under a change elsewhere.
-func TestLossOfAVMMovesFewPlaces(t *testing.T) {
+// Guards against reassigning customers that do not use a removed VM. One VM of 48
+// leaves the list; home sets without it must not change, and other sets must keep
+// nearly all their remaining members.
+func TestRemovingAVMMovesFewMembers(t *testing.T) {
 	g := NewWithT(t)
 	list := fleet(48, 3)
 	before, after := homeset.NewChooser(list), homeset.NewChooser(list[1:])
-	places, moved := 0, 0
+	members, moved := 0, 0
 	for i := range 1000 {
 		customer := fmt.Sprintf("customer-%d", i)
 		old, now := before.Choose(customer, 1), after.Choose(customer, 1)
 		for _, vm := range old.Names() {
-			places++
+			members++
 			if vm != "vm-0" && !now.Contains(vm) {
 				moved++
 			}
@@ -103,11 +103,11 @@
 			g.Expect(now.Names()).To(Equal(old.Names()))
 		}
 	}
-	t.Logf("%d of %d places moved besides those of the lost VM", moved, places)
-	g.Expect(float64(moved) / float64(places)).To(BeNumerically("<", 0.01))
+	t.Logf("%d of %d members replaced, not counting the removed VM", moved, members)
+	g.Expect(float64(moved) / float64(members)).To(BeNumerically("<", 0.01))
 }
 
-func TestLoadIsEven(t *testing.T) {
+func TestLoadIsBalanced(t *testing.T) {
 	g := NewWithT(t)
 	chooser := homeset.NewChooser(fleet(9, 3))
 	load := map[string]int{}
