--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -1,15 +1,16 @@
-// Package warmup decides which upstreams may be given requests while upstreams of their
-// service bear only a few requests a second when they are cold.
+// Package warmup decides which upstreams may receive requests, for services whose upstreams
+// can serve only a few requests per second while they are cold.
 //
-// A cold upstream is given nothing; the other copies carry its work. Any part of the bound
-// that VMs took without asking one another would have to hold over views that differ,
-// partitions and restarts of all VMs, which leaves each less than one request a second.
+// A cold upstream receives no requests; its replicas serve them instead. The VMs do not
+// divide the cold rate among themselves: a share that needs no coordination and keeps the
+// total within the bound while views differ, during partitions and after all VMs restart
+// would be less than one request per second per VM.
 //
-// An upstream is known to be warm by its entry, as long as the store has confirmed that
-// lately, and by an answer of its health path. Whatever points to a new start (a connection
-// that ended, an address that refused one) makes it doubtful until its health has answered.
+// An upstream counts as warm if its entry in the store says so and the store has confirmed
+// the entry recently, or if its health path reports it. A sign of a restart, such as a closed
+// or refused connection, puts it in state Doubtful until a health check succeeds.
 //
-// The package is pure; its caller holds the lock.
+// The package does no I/O and reads no clock.
 package warmup
 
 import (
@@ -19,141 +20,149 @@
 )
 
 const (
-	// checkedFor is how long a health answer stands while the entries are not confirmed.
-	checkedFor = time.Second
-	// entryDelay is how long an upstream's entry may take to tell of a new start.
-	entryDelay = 3 * time.Second
-	// checkPause is the least time between two checks of an upstream.
-	checkPause = 100 * time.Millisecond
+	// healthValidity is how long a health response is valid while the store does not
+	// confirm the entries.
+	healthValidity = time.Second
+	// maxEntryDelay is the longest time from a restart of an upstream until its entry
+	// shows it.
+	maxEntryDelay = 3 * time.Second
+	// minCheckInterval is the minimum time between two health checks of an upstream.
+	minCheckInterval = 100 * time.Millisecond
 )
 
-// State is whether an upstream may be given requests.
+// State says whether an upstream may receive requests.
 type State int
 
 // States.
 const (
-	// Warm upstreams may be given requests.
+	// Warm means that the upstream may receive requests.
 	Warm State = iota
-	// Cold ones may not.
+	// Cold means that it is warming up and may not receive requests.
 	Cold
-	// Doubtful ones may not before their health has answered.
+	// Doubtful means that it may have restarted. It may not receive requests until
+	// a health check or, for StateByEntry, its entry shows that it is warm.
 	Doubtful
 )
 
-// upstream is what is known of one upstream since it started.
-type upstream struct {
-	registered *catalog.Upstream
-	coldUntil  time.Time
-	// doubtedAt is when something last pointed to a new start, checkedAt when the check
-	// whose answer came last was begun; zero for never.
-	doubtedAt, checkedAt time.Time
-	// askedAt is when a check was last begun.
-	askedAt time.Time
+// record holds what is known about one upstream since its last start.
+type record struct {
+	entry     *catalog.Upstream
+	coldUntil time.Time
+	// suspectedAt is the time of the last sign of a restart. verifiedAsOf is the latest
+	// start time of a health check that got a response. Zero means never.
+	suspectedAt, verifiedAsOf time.Time
+	// checkStartedAt is the start time of the last health check.
+	checkStartedAt time.Time
 }
 
-// Table is what is known of all upstreams. It is not safe for concurrent use.
-type Table struct{ upstreams map[string]*upstream }
+// Table tracks the state of all upstreams by ID. It is not safe for concurrent use.
+type Table struct{ records map[string]*record }
 
-// New is a table that knows nothing.
-func New() *Table { return &Table{map[string]*upstream{}} }
+// New returns an empty table.
+func New() *Table { return &Table{map[string]*record{}} }
 
-// Keep takes in the entries of a view and forgets the upstreams that are gone. Upstreams of
-// an evacuated data centre are doubtful: they may turn cold while they get nothing.
+// Keep updates the table from a view and drops the upstreams that are not in it. It marks
+// upstreams in an evacuated data centre as Doubtful, since they may become cold while they
+// receive no requests.
 func (t *Table) Keep(now time.Time, v *catalog.View) {
-	for id := range t.upstreams {
+	for id := range t.records {
 		if v.Upstreams[id] == nil {
-			delete(t.upstreams, id)
+			delete(t.records, id)
 		}
 	}
 	for id, u := range v.Upstreams {
-		held := t.upstreams[id]
-		if held == nil || u.StartedAfter(held.registered) {
-			held = &upstream{}
-			t.upstreams[id] = held
+		r := t.records[id]
+		if r == nil || u.StartedAfter(r.entry) {
+			r = &record{}
+			t.records[id] = r
 		}
-		if held.registered == nil || u.ColdFor > held.registered.ColdFor {
-			held.coldUntil = later(held.coldUntil, now.Add(u.ColdFor))
+		if r.entry == nil || u.ColdFor > r.entry.ColdFor {
+			r.coldUntil = later(r.coldUntil, now.Add(u.ColdFor))
 		}
-		held.registered = u
+		r.entry = u
 		if v.Evacuated[u.DataCentre] {
-			held.doubtedAt = now
+			r.suspectedAt = now
 		}
 	}
 }
 
-// Doubt takes in that something points to a new start of an upstream.
+// Doubt records a sign that an upstream has restarted.
 func (t *Table) Doubt(now time.Time, u *catalog.Upstream) {
-	if held := t.upstreams[u.ID]; held != nil {
-		held.doubtedAt = now
+	if r := t.records[u.ID]; r != nil {
+		r.suspectedAt = now
 	}
 }
 
-// Checked takes in an answer of an upstream's health path to a check begun at a time.
+// Checked records a response of an upstream's health path to a check that started at begun.
+// coldFor is the remaining warm-up time that it reports, or 0.
 func (t *Table) Checked(now, begun time.Time, u *catalog.Upstream, coldFor time.Duration) {
-	held := t.upstreams[u.ID]
-	if held == nil {
+	r := t.records[u.ID]
+	if r == nil {
 		return
 	}
-	held.checkedAt = later(held.checkedAt, begun)
+	r.verifiedAsOf = later(r.verifiedAsOf, begun)
 	if coldFor > 0 {
-		held.coldUntil = later(held.coldUntil, now.Add(coldFor))
+		r.coldUntil = later(r.coldUntil, now.Add(coldFor))
 	}
 }
 
-// State tells whether an upstream may be given requests; confirmed says that the store has
-// confirmed the entries lately.
+// State returns the state of an upstream whose service has a health path. confirmed says
+// that the store has confirmed the entries recently.
 func (t *Table) State(now time.Time, u *catalog.Upstream, confirmed bool) State {
-	held := t.upstreams[u.ID]
+	r := t.records[u.ID]
 	switch {
-	case held == nil:
+	case r == nil:
 		return Doubtful
-	case now.Before(held.coldUntil):
+	case now.Before(r.coldUntil):
 		return Cold
-	case !held.doubtedAt.IsZero() && !held.checkedAt.After(held.doubtedAt):
+	case !r.suspectedAt.IsZero() && !r.verifiedAsOf.After(r.suspectedAt):
 		return Doubtful
-	case !confirmed && now.Sub(held.checkedAt) > checkedFor:
+	case !confirmed && now.Sub(r.verifiedAsOf) > healthValidity:
 		return Doubtful
 	default:
 		return Warm
 	}
 }
 
-// StateByEntry is State for an upstream that tells nothing of its health: its entry alone
-// ends a doubt.
+// StateByEntry returns the state of an upstream whose service has no health path. After a
+// sign of a restart the upstream is Doubtful for maxEntryDelay, within which its entry shows
+// the restart if there was one.
 func (t *Table) StateByEntry(now time.Time, u *catalog.Upstream, confirmed bool) State {
-	held := t.upstreams[u.ID]
+	r := t.records[u.ID]
 	switch {
-	case held == nil || !confirmed:
+	case r == nil || !confirmed:
 		return Doubtful
-	case now.Before(held.coldUntil):
+	case now.Before(r.coldUntil):
 		return Cold
-	case !held.doubtedAt.IsZero() && now.Sub(held.doubtedAt) < entryDelay:
+	case !r.suspectedAt.IsZero() && now.Sub(r.suspectedAt) < maxEntryDelay:
 		return Doubtful
 	default:
 		return Warm
 	}
 }
 
-// Check tells whether the health of a doubtful upstream is to be asked for now, and takes
-// note of it.
+// Check reports whether a health check of a Doubtful upstream is due, and if so records that
+// it starts now.
 func (t *Table) Check(now time.Time, u *catalog.Upstream) bool {
-	held := t.upstreams[u.ID]
-	if held == nil || now.Sub(held.askedAt) < checkPause {
+	r := t.records[u.ID]
+	if r == nil || now.Sub(r.checkStartedAt) < minCheckInterval {
 		return false
 	}
-	held.askedAt = now
+	r.checkStartedAt = now
 	return true
 }
 
-// WarmIn is how long it takes until an upstream may be given requests, as far as is known.
+// WarmIn returns the expected time until an upstream may receive requests, at least
+// minCheckInterval.
 func (t *Table) WarmIn(now time.Time, u *catalog.Upstream) time.Duration {
-	held := t.upstreams[u.ID]
-	if held == nil {
-		return checkPause
+	r := t.records[u.ID]
+	if r == nil {
+		return minCheckInterval
 	}
-	return max(checkPause, held.coldUntil.Sub(now))
+	return max(minCheckInterval, r.coldUntil.Sub(now))
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -9,9 +9,9 @@
 
 var start = time.Unix(1000, 0)
 
-// Guards against a doubt without end, or none, about upstreams that tell nothing of their
-// health.
-func TestStatesByEntry(t *testing.T) {
+// Guards against an upstream without a health path that never leaves Doubtful after a sign
+// of a restart, or never enters it.
+func TestStateByEntry(t *testing.T) {
 	u := view(1, 0, false).Upstreams["u"]
 	for _, c := range []struct {
 		name        string
@@ -28,11 +28,11 @@
 			tb.Keep(at(0), view(1, 0, false))
 			tb.Doubt(at(100), u)
 		}, 3099, false, Doubtful},
-		{"no entry told of a new start", func(tb *Table) {
+		{"no new entry after maxEntryDelay", func(tb *Table) {
 			tb.Keep(at(0), view(1, 0, false))
 			tb.Doubt(at(100), u)
 		}, 3100, false, Warm},
-		{"an entry told of a new start", func(tb *Table) {
+		{"new entry is cold", func(tb *Table) {
 			tb.Keep(at(0), view(1, 0, false))
 			tb.Doubt(at(100), u)
 			tb.Keep(at(2000), view(2, 5*time.Second, false))
@@ -48,14 +48,16 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// view is a view with one upstream, born at a second and cold for so long.
-func view(born int64, coldFor time.Duration, evacuated bool) *catalog.View {
-	u := &catalog.Upstream{ID: "u", DataCentre: "x", Born: time.Unix(born, 0), ColdFor: coldFor}
+// view returns a view with one upstream that started at the given Unix time and is cold for
+// coldFor.
+func view(startedAt int64, coldFor time.Duration, evacuated bool) *catalog.View {
+	u := &catalog.Upstream{ID: "u", DataCentre: "x", Born: time.Unix(startedAt, 0), ColdFor: coldFor}
 	return &catalog.View{Upstreams: map[string]*catalog.Upstream{"u": u}, Evacuated: map[string]bool{"x": evacuated}}
 }
 
-// Guards against requests for upstreams of which nothing says that they are warm.
-func TestStates(t *testing.T) {
+// Guards against requests to upstreams that neither their entry nor a health check shows to
+// be warm.
+func TestState(t *testing.T) {
 	u := view(1, 0, false).Upstreams["u"]
 	for _, c := range []struct {
 		name        string
@@ -67,8 +69,8 @@
 		{"by its entry", func(tb *Table) { tb.Keep(at(0), view(1, 0, false)) }, 0, false, Warm},
 		{"not registered", func(*Table) {}, 0, false, Doubtful},
 		{"cold by its entry", func(tb *Table) { tb.Keep(at(0), view(1, time.Second, false)) }, 999, false, Cold},
-		{"warm after that", func(tb *Table) { tb.Keep(at(0), view(1, time.Second, false)) }, 1000, false, Warm},
-		{"an entry that counts down", func(tb *Table) {
+		{"warm after the cold time of its entry", func(tb *Table) { tb.Keep(at(0), view(1, time.Second, false)) }, 1000, false, Warm},
+		{"remaining cold time of the entry decreases", func(tb *Table) {
 			tb.Keep(at(0), view(1, time.Second, false))
 			tb.Keep(at(900), view(1, 500*time.Millisecond, false))
 		}, 1000, false, Warm},
@@ -76,7 +78,7 @@
 			tb.Keep(at(0), view(1, 0, false))
 			tb.Keep(at(500), view(1, time.Second, false))
 		}, 1400, false, Cold},
-		{"started again", func(tb *Table) {
+		{"after a restart", func(tb *Table) {
 			tb.Keep(at(0), view(1, 0, false))
 			tb.Keep(at(500), view(2, time.Second, false))
 		}, 1400, false, Cold},
@@ -84,32 +86,32 @@
 			tb.Keep(at(0), view(1, 0, false))
 			tb.Doubt(at(100), u)
 		}, 5000, false, Doubtful},
-		{"health asked before that", func(tb *Table) {
+		{"health check started before the connection ended", func(tb *Table) {
 			tb.Keep(at(0), view(1, 0, false))
 			tb.Doubt(at(100), u)
 			tb.Checked(at(110), at(90), u, 0)
 		}, 120, false, Doubtful},
-		{"health asked after that", func(tb *Table) {
+		{"health check started after the connection ended", func(tb *Table) {
 			tb.Keep(at(0), view(1, 0, false))
 			tb.Doubt(at(100), u)
 			tb.Checked(at(120), at(101), u, 0)
 		}, 120, false, Warm},
-		{"cold by its health", func(tb *Table) {
+		{"cold by its health response", func(tb *Table) {
 			tb.Keep(at(0), view(1, 0, false))
 			tb.Doubt(at(100), u)
 			tb.Checked(at(120), at(101), u, time.Second)
 		}, 1119, false, Cold},
-		{"warm after that", func(tb *Table) {
+		{"warm after the cold time of its health response", func(tb *Table) {
 			tb.Keep(at(0), view(1, 0, false))
 			tb.Doubt(at(100), u)
 			tb.Checked(at(120), at(101), u, time.Second)
 		}, 1120, false, Warm},
 		{"entries not confirmed", func(tb *Table) { tb.Keep(at(0), view(1, 0, false)) }, 0, true, Doubtful},
-		{"entries not confirmed, health asked", func(tb *Table) {
+		{"entries not confirmed, recent health check", func(tb *Table) {
 			tb.Keep(at(0), view(1, 0, false))
 			tb.Checked(at(20), at(10), u, 0)
 		}, 900, true, Warm},
-		{"entries not confirmed, health asked long ago", func(tb *Table) {
+		{"entries not confirmed, health check expired", func(tb *Table) {
 			tb.Keep(at(0), view(1, 0, false))
 			tb.Checked(at(20), at(10), u, 0)
 		}, 1100, true, Doubtful},
@@ -126,8 +128,8 @@
 	}
 }
 
-// Guards against a health check for each request.
-func TestChecksAreSpaced(t *testing.T) {
+// Guards against one health check per request.
+func TestChecksAreRateLimited(t *testing.T) {
 	tb := New()
 	u := view(1, 0, false).Upstreams["u"]
 	tb.Keep(at(0), view(1, 0, false))
@@ -142,27 +144,28 @@
 	}
 }
 
-// coldBound is what a cold upstream may get in one second from all VMs: one a second with an
-// overage of 1.5 and a slack of 5.
+// coldBound is the maximum number of requests that a cold upstream may receive from all VMs
+// in one second: 1 per second with an overage factor of 1.5 and a slack of 5.
 const coldBound = 6
 
-// way is how VMs share the bound: the most that one VM may send to a cold upstream in a second,
-// by the VMs that it knows. Less than one a second saves up until it is one.
-type way func(self int, known []int) int
+// split divides the bound among the VMs: it returns the maximum number of requests that one VM
+// may send to a cold upstream in one second, given the VMs that it knows. A nonzero share is at
+// least 1, since a rate below 1 per second accumulates to one request.
+type split func(self int, known []int) int
 
-// Guards against a way of sharing the bound that holds only while all VMs see the same. What
-// each of three ways lets through at worst is logged; each passes the bound somewhere, as a VM
-// that sees few others takes their part. Nothing at all is what is left.
-func TestNoWayOfSharingHoldsTheBoundEverywhere(t *testing.T) {
+// Guards against a split of the bound that holds only while all VMs have the same view. Each
+// of three splits exceeds the bound in some situation, because a VM that knows few others takes
+// their shares; the totals are logged. Only sending nothing always keeps the bound.
+func TestNoSplitKeepsTheBoundInAllViews(t *testing.T) {
 	const dataCentres = 6
 	equal := func(_ int, known []int) int { return max(1, coldBound/len(known)) }
-	few := func(self int, known []int) int {
-		if first(known) == self {
+	oneVM := func(self int, known []int) int {
+		if highestWeight(known) == self {
 			return coldBound
 		}
 		return 0
 	}
-	beside := func(self int, known []int) int {
+	sameDataCentre := func(self int, known []int) int {
 		n := 0
 		for _, vm := range known {
 			if vm%dataCentres == 0 {
@@ -177,33 +180,33 @@
 	nothing := func(int, []int) int { return 0 }
 	for _, c := range []struct {
 		name  string
-		way   way
+		split split
 		holds bool
-	}{{"equal parts", equal, false}, {"one VM by rendezvous", few, false}, {"the VMs of its data centre", beside, false}, {"nothing", nothing, true}} {
+	}{{"equal shares", equal, false}, {"one VM by rendezvous", oneVM, false}, {"the VMs of its data centre", sameDataCentre, false}, {"nothing", nothing, true}} {
 		holds := true
 		for _, vms := range []int{9, 65, 300} {
-			for name, knows := range views(vms) {
+			for name, knownBy := range views(vms) {
 				sum := 0
 				for self := range vms {
-					sum += c.way(self, knows(self))
+					sum += c.split(self, knownBy(self))
 				}
 				t.Logf("%s, %d VMs, %s: %d of %d", c.name, vms, name, sum, coldBound)
 				holds = holds && sum <= coldBound
 			}
 		}
 		if holds != c.holds {
-			t.Errorf("%s: holds %v", c.name, holds)
+			t.Errorf("%s: keeps the bound: %v, want %v", c.name, holds, c.holds)
 		}
 	}
 }
 
-// views is which VMs each VM knows in some situations.
+// views returns, for several situations, a function from a VM to the VMs that it knows.
 func views(vms int) map[string]func(self int) []int {
-	group := func(of func(vm int) int) func(int) []int {
+	group := func(groupOf func(vm int) int) func(int) []int {
 		return func(self int) []int {
 			var out []int
 			for vm := range vms {
-				if of(vm) == of(self) {
+				if groupOf(vm) == groupOf(self) {
 					out = append(out, vm)
 				}
 			}
@@ -211,9 +214,9 @@
 		}
 	}
 	return map[string]func(int) []int{
-		"all see the same":     group(func(int) int { return 0 }),
-		"a partition in three": group(func(vm int) int { return vm % 3 }),
-		"a tenth cut off singly": group(func(vm int) int {
+		"all have the same view": group(func(int) int { return 0 }),
+		"a three-way partition":  group(func(vm int) int { return vm % 3 }),
+		"a tenth of the VMs isolated": group(func(vm int) int {
 			if vm%10 == 0 {
 				return vm + 1
 			}
@@ -223,12 +226,12 @@
 	}
 }
 
-// first is the VM with the greatest weight.
-func first(known []int) int {
-	best, most := -1, uint32(0)
+// highestWeight returns the VM with the highest rendezvous weight.
+func highestWeight(known []int) int {
+	best, maxWeight := -1, uint32(0)
 	for _, vm := range known {
-		if w := uint32(vm+1) * 2654435761; w >= most {
-			best, most = vm, w
+		if w := uint32(vm+1) * 2654435761; w >= maxWeight {
+			best, maxWeight = vm, w
 		}
 	}
 	return best
