--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,5 +1,6 @@
-// Package upstream speaks HTTP to one upstream over a bounded connection pool.
-// It sends each request once and says of each outcome whether it ran.
+// Package upstream implements an HTTP client for one upstream with a bounded
+// connection pool. It sends each request at most once and reports whether the
+// request may have run.
 package upstream
 
 import (
@@ -23,61 +24,69 @@
 	dialTimeout    = time.Second
 	idleTimeout    = 30 * time.Second
 	controlTimeout = time.Second
-	// checkTimeout bounds the look whether an upstream that closed a connection still
-	// listens; its owner is near it.
-	checkTimeout = 100 * time.Millisecond
-	// controlConnections are kept for probes and cancellations.
+	// listenCheckTimeout bounds the check whether an upstream that closed a
+	// connection still listens. It can be short because the VM that owns an
+	// upstream is close to it.
+	listenCheckTimeout = 100 * time.Millisecond
+	// controlConnections is the number of connections reserved for probes and
+	// cancellations.
 	controlConnections = 1
-	// maxControlReply is the largest answer taken to either, in bytes.
+	// maxControlReply is the maximum size of a reply to a probe or cancellation,
+	// in bytes.
 	maxControlReply = 64 << 10
-	// headerBuffer holds any header value that is built from numbers.
+	// headerBuffer is the size of a buffer for header values built from numbers, in
+	// bytes. It fits all of them.
 	headerBuffer = 40
 )
 
-// maxClosedIdle bounds how often one request may meet a connection that was
-// closed while it was idle.
-const maxClosedIdle = 3
+// maxClosedIdleRetries bounds how often a request moves to another connection
+// because the upstream closed the previous one while it was idle.
+const maxClosedIdleRetries = 3
 
-// dialError marks a failure before any byte was sent: the request did not run.
+// dialError is a failure before any byte was sent, so the request did not run.
 type dialError struct{ err error }
 
 func (e *dialError) Error() string { return "dial: " + e.err.Error() }
 func (e *dialError) Unwrap() error { return e.err }
 
-// Call is one request to the upstream.
+// Call is a request to the upstream.
 type Call struct {
-	// RequestID is unique; a cancellation names it.
+	// RequestID is unique and identifies the request in Cancel.
 	RequestID string
 	Path      string
 	Shard     uint32
 	Snapshot  *pb.Snapshot
 	Body      []byte
-	// Deadline is when the answer is due.
+	// Deadline is the time by which the reply must arrive.
 	Deadline time.Time
 }
 
-// Outcome is how a call ended.
+// Outcome is the result of a call.
 type Outcome struct {
-	Result   pb.Result
+	Result pb.Result
+	// Snapshot is the snapshot that the reply was computed from. It is set only if
+	// Result is OK.
 	Snapshot *pb.Snapshot
-	// Body is the caller's to keep.
+	// Body is a copy of the reply body that the caller may keep. It is set only if
+	// Result is OK.
 	Body []byte
-	// Draining says that the upstream announced its leaving.
+	// Draining says that the upstream announced that it is leaving.
 	Draining bool
-	// Cancelled says that the upstream gave the request up while it ran.
+	// Cancelled says that the upstream aborted the request while it was running.
 	Cancelled bool
 	// Ended says that the upstream's process ended while it had the request.
-	Ended  bool
+	Ended bool
+	// Detail describes a failure.
 	Detail string
 }
 
-// Metrics counts what the clients of all upstreams do.
+// Metrics holds the connection metrics of the clients of all upstreams.
 type Metrics struct {
 	opened prometheus.Counter
 	open   prometheus.Gauge
 }
 
-// NewMetrics registers the counters.
+// NewMetrics registers the metrics with r.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	f := promauto.With(r)
 	return &Metrics{
@@ -92,46 +101,48 @@
 	}
 }
 
-// Options are what a client needs.
+// Options configures a Client.
 type Options struct {
-	// Address is IP and port.
+	// Address is the upstream's address as ip:port.
 	Address string
-	// Connections is the most that are open at a time. From 2 on, one is kept
-	// for probes and cancellations, so that neither waits for a request.
+	// Connections is the maximum number of open connections. If it is at least 2,
+	// one is reserved for probes and cancellations, so that they do not wait for
+	// requests to finish.
 	Connections int
-	// MaxReply is the largest reply taken, in bytes.
+	// MaxReply is the maximum size of a reply body, in bytes.
 	MaxReply int
 	Metrics  *Metrics
-	// Dial opens a connection; nil dials plainly.
+	// Dial opens a connection. If nil, net.DialTimeout over TCP is used.
 	Dial func(address string, timeout time.Duration) (net.Conn, error)
 }
 
-// Client is the connections to one upstream.
+// Client sends requests to one upstream. It is safe for concurrent use.
 type Client struct {
-	address string
-	met     *Metrics
-	open    func(address string, timeout time.Duration) (net.Conn, error)
-	// requests carries the requests, control the probes and cancellations.
+	address  string
+	metrics  *Metrics
+	dialFunc func(address string, timeout time.Duration) (net.Conn, error)
+	// requests is the pool for requests, control the pool for probes and
+	// cancellations. They are the same pool if there is only one connection.
 	requests *fasthttp.HostClient
 	control  *fasthttp.HostClient
 }
 
-// NewClient makes a client with no connection; requests open them.
+// NewClient returns a client without connections. It opens them on demand.
 func NewClient(opts Options) *Client {
-	c := &Client{address: opts.Address, met: opts.Metrics, open: opts.Dial}
-	if c.open == nil {
-		c.open = dialTCP
+	c := &Client{address: opts.Address, metrics: opts.Metrics, dialFunc: opts.Dial}
+	if c.dialFunc == nil {
+		c.dialFunc = dialTCP
 	}
-	c.requests = c.pool(max(1, opts.Connections-controlConnections), opts.MaxReply)
+	c.requests = c.newPool(max(1, opts.Connections-controlConnections), opts.MaxReply)
 	c.control = c.requests
 	if opts.Connections > controlConnections {
-		c.control = c.pool(controlConnections, maxControlReply)
+		c.control = c.newPool(controlConnections, maxControlReply)
 		c.control.MaxConnWaitTimeout = controlTimeout
 	}
 	return c
 }
 
-func (c *Client) pool(connections, maxReply int) *fasthttp.HostClient {
+func (c *Client) newPool(connections, maxReply int) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:                     c.address,
 		MaxConns:                 connections,
@@ -139,93 +150,99 @@
 		MaxResponseBodySize:      maxReply,
 		NoDefaultUserAgentHeader: true,
 		DialTimeout:              c.dial,
-		// The connection idle longest is used next, so that a steady trickle
-		// of requests keeps all of them from idling out.
+		// FIFO picks the connection that was idle longest, so even a low
+		// request rate keeps all connections below the idle timeout.
 		ConnPoolStrategy: fasthttp.FIFO,
-		// A retry inside the library would run a non-idempotent request
-		// twice without anyone noticing: a second execution at the upstream
-		// with no second dispatch here. Both of its switches are off.
+		// Both retry settings of the library are off: a retry inside it would
+		// run a non-idempotent request a second time at the upstream without a
+		// second dispatch here.
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 	}
 }
 
-// SetConnections changes the most that are open; those in use are not cut off.
+// SetConnections changes the maximum number of open connections. Connections in
+// use stay open.
 func (c *Client) SetConnections(n int) {
 	c.requests.SetMaxConns(max(1, n-controlConnections))
 }
 
-// dial opens a connection within the request's own time.
+// dial opens a connection. It takes at most timeout, the request's remaining time,
+// and at most dialTimeout.
 func (c *Client) dial(address string, timeout time.Duration) (net.Conn, error) {
 	if timeout <= 0 || timeout > dialTimeout {
 		timeout = dialTimeout
 	}
-	conn, err := c.open(address, timeout)
+	conn, err := c.dialFunc(address, timeout)
 	if err != nil {
 		return nil, &dialError{err}
 	}
-	c.met.opened.Inc()
-	c.met.open.Inc()
-	return &countedConn{Conn: conn, met: c.met}, nil
+	c.metrics.opened.Inc()
+	c.metrics.open.Inc()
+	return &countedConn{Conn: conn, metrics: c.metrics}, nil
 }
 
 func dialTCP(address string, timeout time.Duration) (net.Conn, error) {
 	return net.DialTimeout("tcp", address, timeout)
 }
 
-// Do sends the call once and waits for its outcome, at most to its deadline.
+// Do sends the call at most once and waits for its outcome until its deadline.
+// now is the current time, from which the remaining time in the header is computed.
 func (c *Client) Do(now time.Time, call *Call) Outcome {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	c.fill(req, fasthttp.MethodPost, call.Path)
+	c.initRequest(req, fasthttp.MethodPost, call.Path)
 	var buf [headerBuffer]byte
 	req.Header.Set(HeaderRequestID, call.RequestID)
 	req.Header.SetBytesV(HeaderSnapshot, appendSnapshot(buf[:0], call.Snapshot))
 	req.Header.SetBytesV(HeaderShard, strconv.AppendUint(buf[:0], uint64(call.Shard), 10))
 	req.Header.SetBytesV(HeaderDeadline, strconv.AppendInt(buf[:0], call.Deadline.Sub(now).Milliseconds(), 10))
 	req.SetBodyRaw(call.Body)
-	if err := c.do(req, resp, call.Deadline); err != nil {
-		out := failure(err)
-		out.Ended = out.Result == pb.Result_UNKNOWN && !errors.Is(err, fasthttp.ErrTimeout) && c.ended()
+	if err := c.send(req, resp, call.Deadline); err != nil {
+		out := errorOutcome(err)
+		out.Ended = out.Result == pb.Result_UNKNOWN && !errors.Is(err, fasthttp.ErrTimeout) && c.processEnded()
 		return out
 	}
-	return outcome(resp, call.Snapshot)
+	return replyOutcome(resp, call.Snapshot)
 }
 
-// ended tells whether the upstream's process has ended, after it closed a connection: that
-// alone may have had any other reason.
-func (c *Client) ended() bool {
-	ended, _ := sockpeek.NobodyListens(c.open, c.address, checkTimeout)
+// processEnded reports whether the upstream's process has ended, by checking that
+// its address refuses connections. A closed connection alone does not show this,
+// as it may have other causes.
+func (c *Client) processEnded() bool {
+	ended, _ := sockpeek.NobodyListens(c.dialFunc, c.address, listenCheckTimeout)
 	return ended
 }
 
-// fill fills in the parts of the URI without parsing a text.
-func (c *Client) fill(req *fasthttp.Request, method, path string) {
+// initRequest sets the method, host and path of req separately, so that no URL needs to
+// be parsed.
+func (c *Client) initRequest(req *fasthttp.Request, method, path string) {
 	req.Header.SetMethod(method)
 	req.Header.SetHost(c.address)
 	req.SetRequestURI(path)
 }
 
-// Cancel asks the upstream to give up a request. The request itself is answered
-// on its own connection.
+// Cancel asks the upstream to abort a request. The upstream still replies to the
+// request itself on the request's connection.
 func (c *Client) Cancel(requestID string) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	c.fill(req, fasthttp.MethodPost, CancelPath)
+	c.initRequest(req, fasthttp.MethodPost, CancelPath)
 	req.URI().QueryArgs().Set("id", requestID)
 	return c.control.DoTimeout(req, resp, controlTimeout)
 }
 
-// Probe reads the health endpoint. Idle says that no request needs the
-// connections now: the probe then goes over the one idle longest, which keeps it
-// warm and finds out here, and not with a request, that the upstream closed it.
+// Probe queries the health endpoint. idle says that no request currently needs a
+// connection. The probe then uses the request connection that was idle longest: this
+// keeps that connection open, and if the upstream has closed it, the probe and not a
+// request finds out.
 func (c *Client) Probe(idle bool) (*Health, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	c.fill(req, fasthttp.MethodGet, HealthPath)
+	c.initRequest(req, fasthttp.MethodGet, HealthPath)
 	pool := c.control
 	if idle {
 		pool = c.requests
@@ -243,44 +260,48 @@
 	return h, nil
 }
 
-// do sends the request, and again where it met a connection that the upstream
-// had closed before: nothing was written to that. Its like are given up first.
-// Without this, an upstream that was restarted would look unreachable once for
-// each connection it had, and a shard with three of them would go missing.
-func (c *Client) do(req *fasthttp.Request, resp *fasthttp.Response, deadline time.Time) error {
+// send sends the request. If the upstream has closed the connection while it was
+// idle, nothing was written to it; send then closes all idle connections and sends
+// the request on another one. Without this, a restarted upstream would appear
+// unreachable once for each of its old connections, and a shard with three such
+// replicas would be missing from the answer.
+func (c *Client) send(req *fasthttp.Request, resp *fasthttp.Response, deadline time.Time) error {
 	err := c.requests.DoDeadline(req, resp, deadline)
-	for again := 0; again < maxClosedIdle && errors.Is(err, errClosedIdle); again++ {
+	for retry := 0; retry < maxClosedIdleRetries && errors.Is(err, errClosedIdle); retry++ {
 		c.requests.CloseIdleConnections()
 		err = c.requests.DoDeadline(req, resp, deadline)
 	}
 	return err
 }
 
-// Close gives up the idle connections; it is called when no request runs.
+// Close closes the idle connections. It must be called when no request is running.
 func (c *Client) Close() {
 	c.requests.CloseIdleConnections()
 	c.control.CloseIdleConnections()
 }
 
-// failure classifies an error by whether bytes may have reached the upstream.
-func failure(err error) Outcome {
+// errorOutcome classifies an error of the HTTP client by whether bytes may have
+// reached the upstream. If they may have, the result is UNKNOWN, or UPSTREAM_ERROR
+// if a reply arrived that is too large.
+func errorOutcome(err error) Outcome {
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
 		return Outcome{Result: pb.Result_UPSTREAM_ERROR, Detail: "the reply is larger than max_reply_bytes"}
 	}
-	var de *dialError
+	var dialErr *dialError
 	if errors.Is(err, fasthttp.ErrNoFreeConns) {
 		return Outcome{Result: pb.Result_SHED, Detail: "no free connection"}
 	}
-	if errors.As(err, &de) {
+	if errors.As(err, &dialErr) {
 		return Outcome{Result: pb.Result_UNREACHABLE, Detail: err.Error()}
 	}
 	return Outcome{Result: pb.Result_UNKNOWN, Detail: err.Error()}
 }
 
-func outcome(resp *fasthttp.Response, asked *pb.Snapshot) Outcome {
+// replyOutcome classifies a complete reply.
+func replyOutcome(resp *fasthttp.Response, requested *pb.Snapshot) Outcome {
 	out := Outcome{Draining: len(resp.Header.Peek(HeaderDraining)) > 0}
 	if reason := string(resp.Header.Peek(HeaderNotRun)); reason != "" {
-		out.Result = notRun(reason)
+		out.Result = notRunResult(reason)
 		out.Detail = "upstream: " + reason
 		return out
 	}
@@ -290,7 +311,7 @@
 		out.Detail = "upstream answered with status " + strconv.Itoa(resp.StatusCode())
 		return out
 	}
-	snapshot, err := answered(resp.Header.Peek(HeaderSnapshot), asked)
+	snapshot, err := replySnapshot(resp.Header.Peek(HeaderSnapshot), requested)
 	if err != nil {
 		out.Result = pb.Result_UPSTREAM_ERROR
 		out.Detail = err.Error()
@@ -302,17 +323,19 @@
 	return out
 }
 
-// answered is the snapshot a reply states, which is nearly always the one that
-// was asked for.
-func answered(text []byte, asked *pb.Snapshot) (*pb.Snapshot, error) {
+// replySnapshot parses the snapshot header of a reply. It is nearly always the
+// requested snapshot, which is returned without parsing.
+func replySnapshot(text []byte, requested *pb.Snapshot) (*pb.Snapshot, error) {
 	var buf [headerBuffer]byte
-	if bytes.Equal(text, appendSnapshot(buf[:0], asked)) {
-		return asked, nil
+	if bytes.Equal(text, appendSnapshot(buf[:0], requested)) {
+		return requested, nil
 	}
 	return ParseSnapshot(string(text))
 }
 
-func notRun(reason string) pb.Result {
+// notRunResult maps a value of HeaderNotRun to a result. An unknown reason maps to
+// UNKNOWN.
+func notRunResult(reason string) pb.Result {
 	switch reason {
 	case NotRunShed:
 		return pb.Result_SHED
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -15,7 +15,8 @@
 	"sycamorekeel.example/sycamorekeel/internal/upstream"
 )
 
-const patience = 20 * time.Second
+// testTimeout is a deadline that is reached only if something hangs.
+const testTimeout = 20 * time.Second
 
 func start(t testing.TB, b standin.Behaviour) *standin.Upstream {
 	u, err := standin.StartUpstream("search/u1", 1, b)
@@ -48,8 +49,8 @@
 	}
 }
 
-// refusing is an address where nothing listens.
-func refusing(t *testing.T) string {
+// refusingAddress returns an address where nothing listens.
+func refusingAddress(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -66,18 +67,18 @@
 		ran       int
 		ended     bool
 	}{
-		"answer":                       {standin.Behaviour{Hits: 1}, pb.Result_OK, false, 1, false},
-		"answer that announces drain":  {standin.Behaviour{AnnounceDrain: true}, pb.Result_OK, true, 1, false},
-		"draining":                     {standin.Behaviour{Draining: true}, pb.Result_UPSTREAM_LEAVING, true, 0, false},
-		"snapshot not there":           {standin.Behaviour{Snapshots: []string{"1/1"}}, pb.Result_NO_SNAPSHOT, false, 0, false},
-		"reply too large":              {standin.Behaviour{Padding: 2000}, pb.Result_UPSTREAM_ERROR, false, 1, false},
-		"connection closed after read": {standin.Behaviour{CloseAfterRead: true}, pb.Result_UNKNOWN, false, 1, false},
-		"process ended":                {standin.Behaviour{CrashOn: "r"}, pb.Result_UNKNOWN, false, 1, true},
+		"answer":                         {standin.Behaviour{Hits: 1}, pb.Result_OK, false, 1, false},
+		"answer that announces draining": {standin.Behaviour{AnnounceDrain: true}, pb.Result_OK, true, 1, false},
+		"draining":                       {standin.Behaviour{Draining: true}, pb.Result_UPSTREAM_LEAVING, true, 0, false},
+		"snapshot missing":               {standin.Behaviour{Snapshots: []string{"1/1"}}, pb.Result_NO_SNAPSHOT, false, 0, false},
+		"reply too large":                {standin.Behaviour{Padding: 2000}, pb.Result_UPSTREAM_ERROR, false, 1, false},
+		"connection closed after read":   {standin.Behaviour{CloseAfterRead: true}, pb.Result_UNKNOWN, false, 1, false},
+		"process ended":                  {standin.Behaviour{CrashOn: "r"}, pb.Result_UNKNOWN, false, 1, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			u := start(t, c.behaviour)
-			out := client(t, u.Address(), 4).Do(time.Now(), call("r1", patience))
+			out := client(t, u.Address(), 4).Do(time.Now(), call("r1", testTimeout))
 			g.Expect(out.Result).To(Equal(c.want), out.Detail)
 			g.Expect(out.Draining).To(Equal(c.draining))
 			g.Expect(out.Ended).To(Equal(c.ended))
@@ -86,33 +87,31 @@
 	}
 }
 
-func TestUnreachableDidNotRun(t *testing.T) {
+func TestRefusedConnectionIsUnreachable(t *testing.T) {
 	g := NewWithT(t)
-	out := client(t, refusing(t), 4).Do(time.Now(), call("r1", patience))
+	out := client(t, refusingAddress(t), 4).Do(time.Now(), call("r1", testTimeout))
 	g.Expect(out.Result).To(Equal(pb.Result_UNREACHABLE))
 }
 
-// Symptom: a royalty payment is triggered twice, with one dispatch in the log.
-// Sequence: the upstream takes the request, runs it and closes the connection
-// without an answer; on a new connection and on a kept one.
-// Cause: the HTTP library sends a request again when its connection ends early.
-func TestNoRetryInTheLibrary(t *testing.T) {
+// Guards against a request that runs twice after one dispatch. The upstream runs the
+// request and closes the connection without a reply, on a new and on a reused
+// connection; the HTTP library would send it again.
+func TestLibraryDoesNotRetry(t *testing.T) {
 	g := NewWithT(t)
 	u := start(t, standin.Behaviour{})
 	c := client(t, u.Address(), 4)
-	g.Expect(c.Do(time.Now(), call("warm", patience)).Result).To(Equal(pb.Result_OK))
+	g.Expect(c.Do(time.Now(), call("warm", testTimeout)).Result).To(Equal(pb.Result_OK))
 	u.Change(func(b *standin.Behaviour) { b.CloseAfterRead = true })
 	for i := range 3 {
 		id := "r" + strconv.Itoa(i)
-		g.Expect(c.Do(time.Now(), call(id, patience)).Result).To(Equal(pb.Result_UNKNOWN))
+		g.Expect(c.Do(time.Now(), call(id, testTimeout)).Result).To(Equal(pb.Result_UNKNOWN))
 		g.Expect(u.RunsOf(id)).To(Equal(1))
 	}
 }
 
-// Symptom: an upstream refuses connections of others, since this VM holds more
-// than its part.
-// Sequence: more requests, probes and cancellations at a time than connections.
-// Cause: probes and cancellations opened connections beside the pool.
+// Guards against probes and cancellations that open connections outside of the pool
+// when all pooled connections are in use. This VM would exceed its share of the
+// connections, and the upstream would refuse those of other VMs.
 func TestConnectionLimit(t *testing.T) {
 	for name, limit := range map[string]int{"one": 1, "two": 2, "four": 4} {
 		t.Run(name, func(t *testing.T) {
@@ -121,7 +120,7 @@
 			c := client(t, u.Address(), limit)
 			var wg sync.WaitGroup
 			for i := range 16 {
-				wg.Go(func() { c.Do(time.Now(), call("r"+strconv.Itoa(i), patience)) })
+				wg.Go(func() { c.Do(time.Now(), call("r"+strconv.Itoa(i), testTimeout)) })
 				wg.Go(func() { _, _ = c.Probe(i%2 == 0) })
 				wg.Go(func() { _ = c.Cancel("r" + strconv.Itoa(i)) })
 			}
@@ -136,9 +135,9 @@
 	u := start(t, standin.Behaviour{Hang: true})
 	c := client(t, u.Address(), 2)
 	out := make(chan upstream.Outcome, 1)
-	go func() { out <- c.Do(time.Now(), call("r1", patience)) }()
-	g.Eventually(u.Running, patience).Should(Equal(int64(1)))
-	g.Eventually(func() int64 { _ = c.Cancel("r1"); return u.Cancelled() }, patience).Should(Equal(int64(1)))
+	go func() { out <- c.Do(time.Now(), call("r1", testTimeout)) }()
+	g.Eventually(u.Running, testTimeout).Should(Equal(int64(1)))
+	g.Eventually(func() int64 { _ = c.Cancel("r1"); return u.Cancelled() }, testTimeout).Should(Equal(int64(1)))
 	got := <-out
 	g.Expect(got.Cancelled).To(BeTrue())
 	g.Expect(got.Result).To(Equal(pb.Result_UPSTREAM_ERROR))
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -8,23 +8,22 @@
 	"sycamorekeel.example/sycamorekeel/internal/sockpeek"
 )
 
-// errClosedIdle is the error of a connection that the upstream closed between
-// two requests.
+// errClosedIdle says that the upstream closed a connection between two requests.
 var errClosedIdle = errors.New("the upstream closed the connection while it was idle")
 
-// countedConn counts its closing once. Before the first bytes of a request it
-// looks whether the upstream has closed the connection meanwhile.
+// countedConn decrements the gauge of open connections once when it is closed.
+// Before it writes the first bytes of a request, it checks whether the upstream has
+// closed the connection in the meantime.
 //
-// Without the look, the request is written to a connection whose other end is
-// gone, no answer comes, and as bytes have gone out the outcome is unknown: a
-// payment would be reported as unknown though nothing could have run. Noticed as
-// unknown outcomes after a restart of an upstream. A close that is still under
-// way goes unseen, and its outcome stays unknown.
+// Without the check, a request written to a closed connection gets no reply, and
+// since bytes were sent its outcome is unknown although nothing can have run. This
+// happened after restarts of upstreams. A close that has not yet arrived is not
+// detected, and the outcome is still unknown then.
 type countedConn struct {
 	net.Conn
-	met    *Metrics
-	closed atomic.Bool
-	// idle is set once an answer was read and until the next request.
+	metrics *Metrics
+	closed  atomic.Bool
+	// idle is set by reading a reply and cleared by writing the next request.
 	idle bool
 }
 
@@ -46,7 +45,7 @@
 // Close implements net.Conn.
 func (c *countedConn) Close() error {
 	if c.closed.CompareAndSwap(false, true) {
-		c.met.open.Dec()
+		c.metrics.open.Dec()
 	}
 	return c.Conn.Close()
 }
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -12,11 +12,10 @@
 	"sycamorekeel.example/sycamorekeel/internal/upstream"
 )
 
-// Symptom: a payment is reported as unknown though its upstream was down.
-// Sequence: an answer leaves a connection in the pool; the upstream stops and
-// closes it; the next request is written to it.
-// Cause: a connection used without a look whether its other end is still there.
-func TestAConnectionClosedWhileIdleCarriesNoRequest(t *testing.T) {
+// Guards against an UNKNOWN result for a request whose upstream was down: the
+// upstream closes a pooled connection and stops, and the next request must not be
+// written to it.
+func TestConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
 	g := NewWithT(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -24,19 +23,17 @@
 	go func() { served <- serve(ln, 1) }()
 	call := caller(t, ln)
 	g.Expect(call(time.Minute).Result).To(Equal(pb.Result_OK))
-	// On loopback the close has arrived when CloseWrite returns.
+	// On the loopback interface, the close has arrived when CloseWrite returns.
 	g.Expect(<-served).To(Equal(1))
 	out := call(time.Minute)
 	g.Expect(out.Result).To(Equal(pb.Result_UNREACHABLE), out.Detail)
 }
 
-// Symptom: all replicas of a shard are refused as unreachable at once, though
-// each of them answers; their circuits open and coverage falls.
-// Sequence: a request is answered; its deadline passes while the connection
-// waits in the pool; the next request looks whether the connection is closed.
-// Cause: the look failed with the read deadline that the first request had left
-// on the connection, and that passed for a close.
-func TestAConnectionIdleBeyondADeadlineIsUsedAgain(t *testing.T) {
+// Guards against healthy replicas that appear unreachable, which opens their
+// circuits and reduces coverage. The read deadline of the first request expires
+// while its connection is idle in the pool; the check before the next request must
+// not fail with that deadline and take the failure for a closed connection.
+func TestConnectionIdlePastItsDeadlineIsReused(t *testing.T) {
 	g := NewWithT(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -51,11 +48,10 @@
 	g.Expect(<-served).To(Equal(2))
 }
 
-// Symptom: an upstream that was restarted is refused as unreachable.
-// Sequence: a request is answered; the upstream closes the connection, but still
-// listens; the next request meets the closed connection.
-// Cause: nothing was written, yet the request was given up.
-func TestAClosedConnectionGivesWayToANewOne(t *testing.T) {
+// Guards against a restarted upstream that appears unreachable: it listens again,
+// but has closed the pooled connection. Nothing was written to that connection, so
+// the request must be sent on a new one.
+func TestClosedConnectionIsReplaced(t *testing.T) {
 	g := NewWithT(t)
 	first, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -72,21 +68,21 @@
 	g.Expect(<-served).To(Equal(1))
 }
 
-// caller sends requests to ln, each with the time it is given.
+// caller returns a function that sends a request to ln with the given timeout.
 func caller(t *testing.T, ln net.Listener) func(time.Duration) upstream.Outcome {
 	c := upstream.NewClient(upstream.Options{
 		Address: ln.Addr().String(), Connections: 4, MaxReply: 1 << 20,
 		Metrics: upstream.NewMetrics(prometheus.NewRegistry()),
 	})
 	t.Cleanup(c.Close)
-	return func(left time.Duration) upstream.Outcome {
+	return func(timeout time.Duration) upstream.Outcome {
 		now := time.Now()
-		return c.Do(now, &upstream.Call{RequestID: "r", Path: "/", Snapshot: &pb.Snapshot{Generation: 1, Version: 1}, Deadline: now.Add(left)})
+		return c.Do(now, &upstream.Call{RequestID: "r", Path: "/", Snapshot: &pb.Snapshot{Generation: 1, Version: 1}, Deadline: now.Add(timeout)})
 	}
 }
 
-// serve answers n requests on one connection, then closes its side and stops
-// listening. It returns the requests it read.
+// serve answers n requests on one connection, then closes its side of it and stops
+// listening. It returns the number of requests that it read.
 func serve(ln net.Listener, n int) int {
 	conn, err := ln.Accept()
 	if err != nil {
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -12,12 +12,11 @@
 
 const fuzzMaxReply = 1 << 16
 
-// Symptom: a daemon panics or fills its memory, or takes garbage for an answer
-// or for proof that nothing ran.
-// Sequence: an upstream sends any bytes as its reply.
-// Cause: a header or a length taken over unchecked.
+// Guards against an unchecked header or length in a reply of arbitrary bytes: the
+// daemon must not panic, exhaust its memory, or take malformed bytes for a valid
+// reply or for proof that the request did not run.
 func FuzzReply(f *testing.F) {
-	asked := &pb.Snapshot{Generation: 1, Version: 7}
+	requested := &pb.Snapshot{Generation: 1, Version: 7}
 	for _, seed := range replySeeds {
 		f.Add([]byte(seed))
 	}
@@ -25,35 +24,36 @@
 		resp := fasthttp.AcquireResponse()
 		defer fasthttp.ReleaseResponse(resp)
 		if err := resp.ReadLimitBody(bufio.NewReader(bytes.NewReader(raw)), fuzzMaxReply); err != nil {
-			if out := failure(err); out.Result == pb.Result_OK || out.Body != nil {
-				t.Fatalf("an unreadable reply gave %v", out)
+			if out := errorOutcome(err); out.Result == pb.Result_OK || out.Body != nil {
+				t.Fatalf("unreadable reply produced outcome %v", out)
 			}
 			return
 		}
-		checkOutcome(t, resp, outcome(resp, asked))
+		checkOutcome(t, resp, replyOutcome(resp, requested))
 	})
 }
 
+// checkOutcome checks that the outcome is justified by the reply.
 func checkOutcome(t *testing.T, resp *fasthttp.Response, out Outcome) {
 	switch out.Result {
 	case pb.Result_OK:
 		if out.Snapshot == nil || resp.StatusCode() != fasthttp.StatusOK || len(out.Body) > fuzzMaxReply {
-			t.Fatalf("taken for an answer: %v", out)
+			t.Fatalf("invalid reply accepted: %v", out)
 		}
-		again, err := ParseSnapshot(string(resp.Header.Peek(HeaderSnapshot)))
-		if err != nil || again.Generation != out.Snapshot.Generation || again.Version != out.Snapshot.Version {
+		parsed, err := ParseSnapshot(string(resp.Header.Peek(HeaderSnapshot)))
+		if err != nil || parsed.Generation != out.Snapshot.Generation || parsed.Version != out.Snapshot.Version {
 			t.Fatalf("snapshot %v, header says %q", out.Snapshot, resp.Header.Peek(HeaderSnapshot))
 		}
 	case pb.Result_UPSTREAM_ERROR, pb.Result_UNKNOWN:
 	case pb.Result_SHED, pb.Result_UPSTREAM_LEAVING, pb.Result_NO_SNAPSHOT, pb.Result_TOO_LATE, pb.Result_CANCELLED:
 		if len(resp.Header.Peek(HeaderNotRun)) == 0 {
-			t.Fatalf("not run without the upstream's word: %v", out)
+			t.Fatalf("result says not run, but the reply lacks X-Not-Run: %v", out)
 		}
 	default:
-		t.Fatalf("result %v", out.Result)
+		t.Fatalf("unexpected result %v", out.Result)
 	}
 	if out.Result != pb.Result_OK && out.Body != nil {
-		t.Fatalf("a failure with a body: %v", out)
+		t.Fatalf("failure outcome with a body: %v", out)
 	}
 }
 
--- a/internal/upstream/wire.go
+++ b/internal/upstream/wire.go
@@ -13,11 +13,12 @@
 	HeaderRequestID = "X-Request-Id"
 	HeaderSnapshot  = "X-Snapshot"
 	HeaderShard     = "X-Shard"
-	// HeaderDeadline is the remaining time in milliseconds.
+	// HeaderDeadline holds the remaining time of the request in milliseconds.
 	HeaderDeadline = "X-Deadline-Ms"
-	// HeaderNotRun is set by an upstream that refused without running.
+	// HeaderNotRun is set on the reply to a request that the upstream did not run. Its
+	// value is the reason.
 	HeaderNotRun = "X-Not-Run"
-	// HeaderDraining is set on any reply of an upstream that is leaving.
+	// HeaderDraining is set on all replies of an upstream that is leaving.
 	HeaderDraining = "X-Draining"
 )
 
@@ -30,31 +31,32 @@
 	NotRunCancel   = "cancelled"
 )
 
-// Paths of the upstream interface besides the service's own.
+// Paths of the upstream interface, in addition to the paths of the service.
 const (
 	HealthPath = "/health"
 	CancelPath = "/cancel"
 )
 
-// States of the health endpoint.
+// Values of Health.State.
 const (
 	StateReady    = "ready"
 	StateCold     = "cold"
 	StateDraining = "draining"
 )
 
-// Health is the JSON answer of HealthPath. It may lag.
+// Health is the JSON reply of HealthPath. It may be out of date.
 type Health struct {
-	// State is ready, cold or draining.
+	// State is StateReady, StateCold or StateDraining.
 	State string `json:"state"`
-	// Load is the share of slots in use, 0 to 1.
+	// Load is the fraction of slots in use, from 0 to 1.
 	Load float64 `json:"load"`
-	// Snapshots it can serve, as "generation/version".
+	// Snapshots lists the snapshots that the upstream can serve, each as
+	// "generation/version".
 	Snapshots []string `json:"snapshots"`
 }
 
-// Report is the health answer in the terms of the fleet; a state it does not
-// know counts as ready, and a snapshot it cannot read is left out.
+// Report returns the state and snapshots of h as protocol messages. An unknown
+// state counts as ready, and malformed snapshots are skipped.
 func (h *Health) Report() (pb.UpstreamState, []*pb.Snapshot) {
 	state := pb.UpstreamState_READY
 	switch h.State {
@@ -72,18 +74,19 @@
 	return state, snapshots
 }
 
-// FormatSnapshot writes a snapshot as "generation/version".
+// FormatSnapshot formats a snapshot as "generation/version".
 func FormatSnapshot(s *pb.Snapshot) string {
 	return string(appendSnapshot(nil, s))
 }
 
+// appendSnapshot appends s to b in the format of FormatSnapshot.
 func appendSnapshot(b []byte, s *pb.Snapshot) []byte {
 	b = strconv.AppendUint(b, uint64(s.GetGeneration()), 10)
 	b = append(b, '/')
 	return strconv.AppendUint(b, s.GetVersion(), 10)
 }
 
-// ParseSnapshot reads "generation/version".
+// ParseSnapshot parses a snapshot in the format "generation/version".
 func ParseSnapshot(text string) (*pb.Snapshot, error) {
 	g, v, ok := strings.Cut(text, "/")
 	if !ok {
