--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -11,7 +11,7 @@
 
 // Guards against an upstream without a health path that never leaves Doubtful after a sign
 // of a restart, or never enters it.
-func TestStateByEntry(t *testing.T) {
+func TestStatesByEntry(t *testing.T) {
 	u := view(1, 0, false).Upstreams["u"]
 	for _, c := range []struct {
 		name        string
@@ -57,7 +57,7 @@
 
 // Guards against requests to upstreams that neither their entry nor a health check shows to
 // be warm.
-func TestState(t *testing.T) {
+func TestStates(t *testing.T) {
 	u := view(1, 0, false).Upstreams["u"]
 	for _, c := range []struct {
 		name        string
