--- a/internal/routing/draws.go
+++ b/internal/routing/draws.go
@@ -1,24 +1,26 @@
 package routing
 
-// goldenStep is the fractional part of the golden ratio: its multiples fall into the
-// largest gap that those before have left.
+// goldenStep is the fractional part of the golden ratio. Modulo 1, each of its multiples
+// falls into one of the largest gaps between the previous ones.
 const goldenStep = 0.6180339887498949
 
-// Draws gives numbers in [0, 1) that lie more evenly than independent ones: of any n in
-// turn, a part of an interval of some length is met by n times that length, give or take
-// two. A split by weight then keeps its shares over tens of requests. With independent
-// draws the shares of 300 requests strayed from their weights by up to 0.13, with these by
-// 0.04 over 20 VMs and 0.01 at one (TestSplit, 6,000 requests, ten seeds).
-type Draws struct{ at float64 }
+// Draws is a low-discrepancy sequence of numbers in [0, 1), for use with Route.Pick. Of any n
+// consecutive numbers, n*l plus or minus 2 fall into an interval of length l, so a weighted
+// split is close to its weights after some tens of requests. In TestSplit (6,000 requests,
+// ten seeds), shares of 300 requests deviate from their weights by up to 0.13 with
+// independent random numbers, but by 0.04 with one sequence on each of 20 VMs and 0.01 on a
+// single VM. It is not safe for concurrent use.
+type Draws struct{ current float64 }
 
-// NewDraws begins anywhere; VMs are to begin at places of their own.
-func NewDraws(at float64) *Draws { return &Draws{at: at} }
+// NewDraws returns a sequence that starts after the given number in [0, 1). Each VM should
+// use a different one.
+func NewDraws(start float64) *Draws { return &Draws{current: start} }
 
-// Next is the next number.
+// Next returns the next number of the sequence.
 func (d *Draws) Next() float64 {
-	d.at += goldenStep
-	if d.at >= 1 {
-		d.at--
+	d.current += goldenStep
+	if d.current >= 1 {
+		d.current--
 	}
-	return d.at
+	return d.current
 }
--- a/internal/routing/draws_test.go
+++ b/internal/routing/draws_test.go
@@ -7,32 +7,33 @@
 	"testing"
 )
 
-// window is the number of requests over which operators hold a split to its weights, and
-// allowed how far a share may stray.
 const (
-	window  = 300
-	allowed = 0.1
+	// window is the number of requests over which a split must follow its weights.
+	window = 300
+	// maxDeviation is the allowed difference between a share and its weight.
+	maxDeviation = 0.1
 )
 
-// stray is how far shares are off their weights at most, over windows of requests that
-// come to any of some VMs.
-func stray(r *Route, vms int, random *rand.Rand, next func(vm int) float64) float64 {
+// deviation returns the maximum difference between a share of the requests and its weight over
+// all windows, for requests that arrive at random VMs. next returns the number that a VM passes
+// to Pick.
+func deviation(r *Route, vms int, random *rand.Rand, next func(vm int) float64) float64 {
 	total := 0.0
 	for _, t := range r.Targets {
 		total += t.Weight
 	}
-	var last []string
+	var recent []string
 	counts := map[string]int{}
 	worst := 0.0
 	for range 20 * window {
 		service := r.Pick(next(random.IntN(vms)))
-		last = append(last, service)
+		recent = append(recent, service)
 		counts[service]++
-		if len(last) <= window {
+		if len(recent) <= window {
 			continue
 		}
-		counts[last[0]]--
-		last = last[1:]
+		counts[recent[0]]--
+		recent = recent[1:]
 		for _, t := range r.Targets {
 			worst = max(worst, math.Abs(float64(counts[t.Service])/window-t.Weight/total))
 		}
@@ -40,10 +41,9 @@
 	return worst
 }
 
-// Symptom: one part of a split gets a tenth of the requests more than its weight for a
-// while, and the operators count it as a duty missed.
-// Sequence: nothing happens; some hundred requests come to a few or to many VMs.
-// Cause: each request was drawn for itself.
+// Guards against a target that exceeds its weight by a tenth of the requests over some
+// hundred requests, which violates the contract for splits. Independent random numbers for
+// each request cause such deviations, on few and on many VMs.
 func TestSplit(t *testing.T) {
 	for _, weights := range [][]float64{{1, 1}, {9, 1}, {5, 3, 2}, {97, 3}} {
 		r := &Route{}
@@ -57,13 +57,13 @@
 				for i := range draws {
 					draws[i] = NewDraws(random.Float64())
 				}
-				got := stray(r, vms, random, func(vm int) float64 { return draws[vm].Next() })
-				alone := stray(r, vms, random, func(int) float64 { return random.Float64() })
-				if got > allowed {
-					t.Errorf("weights %v, %d VMs, seed %d: off by %.3f (drawn alone %.3f)", weights, vms, seed, got, alone)
+				got := deviation(r, vms, random, func(vm int) float64 { return draws[vm].Next() })
+				independent := deviation(r, vms, random, func(int) float64 { return random.Float64() })
+				if got > maxDeviation {
+					t.Errorf("weights %v, %d VMs, seed %d: deviation %.3f (with independent numbers %.3f)", weights, vms, seed, got, independent)
 				}
 				if vms == 1 && got > 0.02 {
-					t.Errorf("weights %v, one VM, seed %d: off by %.3f (drawn alone %.3f)", weights, seed, got, alone)
+					t.Errorf("weights %v, one VM, seed %d: deviation %.3f (with independent numbers %.3f)", weights, seed, got, independent)
 				}
 			}
 		}
--- a/internal/routing/homes.go
+++ b/internal/routing/homes.go
@@ -2,49 +2,51 @@
 
 import "slices"
 
-// Homes is the regions in which the requests of a route may be served. The zero value
-// sets no bound.
+// Homes is the set of home regions of a route, in which its requests may be served. The zero
+// value is unrestricted and allows all regions.
 type Homes struct {
-	bound   bool
-	regions []string
+	restricted bool
+	regions    []string
 }
 
-// HomesIn is the homes in some regions; without any it sets no bound.
+// HomesIn returns a set of home regions. Without regions it is unrestricted.
 func HomesIn(regions ...string) Homes { return Homes{len(regions) > 0, regions} }
 
-// Bound tells whether the homes exclude any region.
-func (h Homes) Bound() bool { return h.bound }
+// Bound reports whether the set is restricted to its regions.
+func (h Homes) Bound() bool { return h.restricted }
 
-// Regions lists the homes; it is empty where they set no bound, or exclude every region.
+// Regions returns the home regions. The result is empty if the set is unrestricted or allows
+// no region; Bound distinguishes the two.
 func (h Homes) Regions() []string { return h.regions }
 
-// Allow tells whether requests may be served in a region. An empty region is unknown, and
-// allowed only where the homes set no bound.
+// Allow reports whether requests may be served in a region. The empty region is unknown and
+// allowed only if the set is unrestricted.
 func (h Homes) Allow(region string) bool {
-	return !h.bound || region != "" && slices.Contains(h.regions, region)
+	return !h.restricted || region != "" && slices.Contains(h.regions, region)
 }
 
-// And is the homes that two bounds leave together.
+// And returns the intersection of two sets, which may allow no region.
 func (h Homes) And(other Homes) Homes {
 	switch {
-	case !h.bound:
+	case !h.restricted:
 		return other
-	case !other.bound:
+	case !other.restricted:
 		return h
 	}
 	return Homes{true, slices.DeleteFunc(slices.Clone(h.regions), func(r string) bool { return !slices.Contains(other.regions, r) })}
 }
 
-// HostHomes is the regions whose VMs may take the requests of a host, beside those of the
-// caller's own region. A host that also has a route without homes sets no bound: its callers
-// use the same addresses for all its routes.
+// HostHomes returns the union of the home regions of a host's routes. Callers of the host may
+// use VMs in these regions in addition to those in their own region. The result is
+// unrestricted if any route of the host is, since callers use the same addresses for all
+// routes of a host, and also if the host has no route.
 func (t *Table) HostHomes(host string) Homes {
 	var out Homes
 	for _, r := range t.byHost[NormalHost(host)] {
-		if !r.Homes.bound {
+		if !r.Homes.restricted {
 			return Homes{}
 		}
-		out.bound = true
+		out.restricted = true
 		for _, region := range r.Homes.regions {
 			if !slices.Contains(out.regions, region) {
 				out.regions = append(out.regions, region)
--- a/internal/routing/homes_test.go
+++ b/internal/routing/homes_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Guards against homes that let an unknown region in, or an intersection that opens.
+// Guards against homes that allow an unknown region, and against an empty intersection that
+// becomes unrestricted.
 func TestHomes(t *testing.T) {
 	none, north, both, empty := Homes{}, HomesIn("north"), HomesIn("north", "east"), HomesIn("north").And(HomesIn("east"))
 	for _, c := range []struct {
@@ -20,10 +21,10 @@
 		{"outside", north, "east", false},
 		{"unknown region", north, "", false},
 		{"intersection", both.And(north), "north", true},
-		{"intersection leaves one out", both.And(north), "east", false},
+		{"outside the intersection", both.And(north), "east", false},
 		{"intersection with none", none.And(north), "east", false},
-		{"nothing in common", empty, "north", false},
-		{"nothing in common, and no homes", empty.And(none), "east", false},
+		{"empty intersection", empty, "north", false},
+		{"empty intersection, intersected with no homes", empty.And(none), "east", false},
 		{"an empty name is no region", HomesIn(""), "", false},
 	} {
 		if got := c.homes.Allow(c.region); got != c.want {
@@ -32,7 +33,7 @@
 	}
 }
 
-// Guards against callers that are sent to VMs outside of all homes of a host.
+// Guards against sending callers to VMs outside of all home regions of a host.
 func TestHomesOfAHost(t *testing.T) {
 	table := Compile(&Config{Routes: []Route{
 		{Host: "homed", Prefix: "/a/", Homes: HomesIn("north")},
@@ -41,12 +42,12 @@
 		{Host: "mixed", Prefix: "/b/"},
 	}})
 	if h := table.HostHomes("Homed:80"); !h.Bound() || !slices.Equal(h.Regions(), []string{"north", "east"}) {
-		t.Errorf("all routes have homes: %+v", h)
+		t.Errorf("all routes have homes: got %+v", h)
 	}
 	if h := table.HostHomes("mixed"); h.Bound() {
-		t.Errorf("one route has none: %+v", h)
+		t.Errorf("one route has no homes: got %+v", h)
 	}
 	if h := table.HostHomes("other"); h.Bound() {
-		t.Errorf("no route: %+v", h)
+		t.Errorf("no route: got %+v", h)
 	}
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,6 +1,6 @@
-// Package routing holds the routes of one configuration and finds the route of
-// a request: by host, then by the longest prefix of the path. A Table is
-// immutable; a new configuration compiles a new one.
+// Package routing defines the routing configuration and finds the route of a
+// request by its host and then by the longest matching path prefix. A Table is
+// immutable; each new configuration is compiled into a new one.
 package routing
 
 import (
@@ -11,44 +11,48 @@
 	"sycamorekeel.example/sycamorekeel/internal/finding"
 )
 
-// Config is one version of the routes, the services behind them and the limits
-// of callers.
+// Config is one version of the routing configuration: the routes, the services
+// behind them and the limits for callers.
 type Config struct {
-	// Version increases with each configuration; the steps may be uneven.
+	// Version increases with each configuration, not necessarily by 1.
 	Version  uint64
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// Warnings are faults that do not keep the configuration from being in force.
+	// Warnings lists faults that do not prevent the configuration from taking
+	// effect.
 	Warnings finding.List
 }
 
-// Route says where the requests of one host and path prefix go.
+// Route defines how requests for one host and path prefix are served.
 type Route struct {
 	// Name identifies the route in logs and metrics.
 	Name string
 	Host string
-	// Prefix begins and ends with a slash.
+	// Prefix is a path prefix that begins and ends with a slash.
 	Prefix string
-	// Idempotent requests may run more than once.
+	// Idempotent says that a request may run more than once.
 	Idempotent bool
-	// Timeout is the longest that a caller may be kept waiting.
+	// Timeout is the maximum time until a caller gets its answer.
 	Timeout time.Duration
-	// Objective is the answer time that the contract promises.
+	// Objective is the contracted response time.
 	Objective time.Duration
-	// Priority ranks routes when work must wait; 0 is the most urgent.
+	// Priority orders the routes when requests have to wait; 0 is the most urgent.
 	Priority int
-	// Attempts is the most upstreams that may run one request, for each shard.
+	// Attempts is the maximum number of upstreams that may run a request, per
+	// shard.
 	Attempts int
-	// Targets share the requests by weight; empty on a route with Shards.
+	// Targets receive the requests in proportion to their weights. Empty if Shards
+	// is set.
 	Targets []Target
-	// Shards are the services that each answer a part of a query.
+	// Shards are the services that each answer a part of every query.
 	Shards []string
-	// TopK is how many of the greatest records an answer holds.
+	// TopK is the number of highest-ranked records in an answer.
 	TopK int
-	// MinCoverage is the least share of the shards that makes an answer, 0 to 1.
+	// MinCoverage is the minimum fraction of the shards that an answer must
+	// include, from 0 to 1.
 	MinCoverage float64
-	// Homes is where the requests may be served.
+	// Homes restricts the regions in which requests may be served.
 	Homes Homes
 }
 
@@ -58,44 +62,47 @@
 	Weight  float64
 }
 
-// Service is a set of equal upstreams.
+// Service is a set of interchangeable upstreams.
 type Service struct {
 	Name string
-	// MaxConnections is what one upstream takes from all VMs together; 0 is
-	// unknown.
+	// MaxConnections is the maximum number of connections that one upstream accepts
+	// from all VMs together; 0 means unknown.
 	MaxConnections int
-	// HealthPath is where upstreams tell of themselves.
+	// HealthPath is the path of the upstreams' health endpoint; empty if they have
+	// none.
 	HealthPath string
-	// ColdBound says that an upstream bears only a few requests a second while it is cold.
+	// ColdBound says that an upstream can serve only a few requests per second while
+	// it is cold.
 	ColdBound bool
 }
 
-// Limits bound what a caller may send; a zero field sets no bound.
+// Limits holds the maximum sizes of a request; 0 means unlimited.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int
 }
 
-// FanOut tells whether the route's requests go to many shards.
+// FanOut reports whether the route's requests are scattered to shards.
 func (r *Route) FanOut() bool { return len(r.Shards) > 0 }
 
-// Pick chooses the service of a plain request by a number in [0, 1).
-func (r *Route) Pick(at float64) string {
+// Pick returns the service for a request of a route with Targets. It maps point, a
+// number in [0, 1), to the targets in proportion to their weights.
+func (r *Route) Pick(point float64) string {
 	total := 0.0
 	for _, t := range r.Targets {
 		total += t.Weight
 	}
-	at *= total
+	point *= total
 	for _, t := range r.Targets {
-		if at < t.Weight {
+		if point < t.Weight {
 			return t.Service
 		}
-		at -= t.Weight
+		point -= t.Weight
 	}
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// Table finds routes. The zero value has none.
+// Table finds the route of a request. The zero value has no routes.
 type Table struct {
 	version  uint64
 	limits   Limits
@@ -125,24 +132,25 @@
 	return t
 }
 
-// Version is the configuration's version.
+// Version returns the version of the configuration.
 func (t *Table) Version() uint64 { return t.version }
 
-// Limits is what callers are held to.
+// Limits returns the limits for callers.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Service is a service by name; false when the configuration does not name it.
+// Service returns the service with the given name, and false if the configuration
+// does not define it.
 func (t *Table) Service(name string) (Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// Lookup is the route of a request, nil without one. A port in the host is
-// ignored.
+// Lookup returns the route of a request, or nil if there is none. It ignores a port
+// in the host.
 func (t *Table) Lookup(host, path string) *Route {
 	routes := t.byHost[NormalHost(host)]
-	// Prefixes of the path sort before it, longer ones later: the last match
-	// below the path's place is the longest.
+	// All prefixes of the path sort at or before it, shorter ones first, so the
+	// last one that matches is the longest.
 	for i := searchPrefix(routes, path) - 1; i >= 0; i-- {
 		if strings.HasPrefix(path, routes[i].Prefix) {
 			return routes[i]
@@ -151,7 +159,7 @@
 	return nil
 }
 
-// searchPrefix is how many prefixes sort at or before the path.
+// searchPrefix returns the number of routes whose prefix sorts at or before the path.
 func searchPrefix(routes []*Route, path string) int {
 	n, found := slices.BinarySearchFunc(routes, path, func(r *Route, p string) int { return strings.Compare(r.Prefix, p) })
 	if found {
@@ -160,7 +168,8 @@
 	return n
 }
 
-// NormalHost is a host as routes are looked up by: without its port, in lower case.
+// NormalHost returns the host in lower case and without its port, as routes are looked
+// up by it.
 func NormalHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -8,9 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-func table(prefixes ...string) *Table {
+// table compiles routes that are each given as "host prefix".
+func table(routes ...string) *Table {
 	c := &Config{Version: 1}
-	for _, p := range prefixes {
+	for _, p := range routes {
 		host, prefix, _ := strings.Cut(p, " ")
 		c.Routes = append(c.Routes, Route{Name: p, Host: host, Prefix: prefix, Targets: []Target{{Service: "s", Weight: 1}}})
 	}
@@ -34,12 +35,13 @@
 			got = r.Name
 		}
 		if got != c.want {
-			t.Errorf("%s%s goes to %q, want %q", c.host, c.path, got, c.want)
+			t.Errorf("%s%s: got %q, want %q", c.host, c.path, got, c.want)
 		}
 	}
 }
 
-// The lookup agrees with the plain definition for any routes and paths.
+// Checks for arbitrary routes and paths that Lookup returns the same route as a linear
+// search.
 func TestLookupIsTheLongestPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		segment := rapid.SampledFrom([]string{"a", "b", "aa", "ab", "a0"})
@@ -58,28 +60,28 @@
 				prefixes = append(prefixes, "h "+p)
 			}
 		}
-		asked := path("asked")
+		requested := path("requested")
 		want := ""
 		for _, p := range prefixes {
-			if prefix := p[2:]; strings.HasPrefix(asked, prefix) && len(prefix) > len(want) {
+			if prefix := p[2:]; strings.HasPrefix(requested, prefix) && len(prefix) > len(want) {
 				want = prefix
 			}
 		}
 		got := ""
-		if r := table(prefixes...).Lookup("h", asked); r != nil {
+		if r := table(prefixes...).Lookup("h", requested); r != nil {
 			got = r.Prefix
 		}
 		if got != want {
-			t.Fatalf("%q of %q goes to %q, want %q", asked, prefixes, got, want)
+			t.Fatalf("path %q, prefixes %q: got %q, want %q", requested, prefixes, got, want)
 		}
 	})
 }
 
 func TestPickFollowsTheWeights(t *testing.T) {
 	r := Route{Targets: []Target{{"a", 1}, {"none", 0}, {"b", 3}}}
-	for at, want := range map[float64]string{0: "a", 0.24: "a", 0.26: "b", 0.999: "b"} {
-		if got := r.Pick(at); got != want {
-			t.Errorf("at %v: %s, want %s", at, got, want)
+	for point, want := range map[float64]string{0: "a", 0.24: "a", 0.26: "b", 0.999: "b"} {
+		if got := r.Pick(point); got != want {
+			t.Errorf("Pick(%v) = %s, want %s", point, got, want)
 		}
 	}
 }
