--- a/internal/traffic/log.go
+++ b/internal/traffic/log.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// Message is the message of the log line that tells what was counted since the one
-	// before.
+	// Message is the message of the log line that reports what was counted since the
+	// previous such line.
 	Message = "node: traffic"
-	// FieldCarrying says whether callers are sent to the VM.
+	// FieldCarrying is the key of a boolean field: whether callers are sent to the VM.
 	FieldCarrying = "carrying"
-	// connections is the name of the counts of connections.
+	// connections takes the place of the purpose in the keys of the connection counts.
 	connections = "connections"
-	// joint joins a purpose and a distance to the name of a field.
-	joint = "."
+	// separator separates purpose and distance in a field key.
+	separator = "."
 )
 
-// MarshalLogObject implements zapcore.ObjectMarshaler: one field for each count that is
-// not zero, named by purpose and distance.
+// MarshalLogObject implements zapcore.ObjectMarshaler. It adds a field for each nonzero
+// count, with a key built from purpose and distance.
 func (c Counts) MarshalLogObject(enc zapcore.ObjectEncoder) error {
 	add := func(name string, d int, n uint64) {
 		if n > 0 {
-			enc.AddUint64(name+joint+locality.Distance(d).String(), n)
+			enc.AddUint64(name+separator+locality.Distance(d).String(), n)
 		}
 	}
 	for p := range c.Bytes {
@@ -39,7 +39,8 @@
 	return nil
 }
 
-// Field takes the name of a field of the log line apart; false when it is none of a count.
-func Field(name string) (purpose, distance string, ok bool) {
-	return strings.Cut(name, joint)
+// Field splits the key of a count in the log line into purpose and distance. ok is false if
+// the key does not belong to a count.
+func Field(key string) (purpose, distance string, ok bool) {
+	return strings.Cut(key, separator)
 }
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -1,10 +1,10 @@
-// Package traffic counts the bytes that a VM exchanges, by what they are for and how far
-// they go. Bytes between data centres and regions are paid for; without these counts
-// nobody can tell which part of the system spends them.
+// Package traffic counts the bytes that a VM exchanges by purpose and distance. Bytes between
+// data centres and regions cost money, and these counts show which part of the system
+// causes them.
 //
-// What VMs exchange with each other is counted on one side, so that sums over a fleet
-// count it once: datagrams by their sender, pages and lists by the VM that asked. Counted
-// are the payloads of TCP and UDP, without their headers.
+// Bytes exchanged between VMs are counted on one side only, so that a sum over the fleet
+// includes them once: datagrams are counted by the sender, catalog pages and member lists by
+// the VM that requested them. The counts cover the payloads of TCP and UDP without headers.
 package traffic
 
 import (
@@ -16,45 +16,46 @@
 	"sycamorekeel.example/sycamorekeel/internal/locality"
 )
 
-// Purpose is what bytes are for.
+// Purpose is the purpose for which bytes are exchanged.
 type Purpose int
 
 // Purposes.
 const (
-	// Part is first sends to upstreams, with their answers.
+	// Part counts first attempts at upstreams, requests and replies.
 	Part Purpose = iota
-	// Extra is retries and hedges, with their answers.
+	// Extra counts retries and hedges, requests and replies.
 	Extra
-	// Health is health checks of upstreams, with their answers.
+	// Health counts health checks of upstreams, requests and replies.
 	Health
-	// Gossip is datagrams between VMs.
+	// Gossip counts datagrams between VMs.
 	Gossip
-	// Members is lists of members, for processes that start.
+	// Members counts member lists requested by starting processes.
 	Members
-	// Page is pages of what is known of the store, between VMs.
+	// Page counts catalog pages pulled from other VMs.
 	Page
-	// Directory is the directory's questions and answers.
+	// Directory counts requests to the directory and its replies.
 	Directory
-	// Store is what is read of the platform's store.
+	// Store counts reads of the platform's store.
 	Store
-	purposes
+	purposeCount
 )
 
-// String is the purpose's name in logs and metrics.
+// String returns the name of the purpose in logs and metrics.
 func (p Purpose) String() string {
 	return [...]string{"part", "extra", "health", "gossip", "members", "page", "directory", "store"}[p]
 }
 
-// slots is the distances counted: the known ones and Unknown.
-const slots = locality.Unknown + 1
+// distanceCount is the number of distances, including Unknown.
+const distanceCount = locality.Unknown + 1
 
-// Counts is bytes by purpose and distance, and connections opened by distance.
+// Counts holds the bytes exchanged by purpose and distance, and the connections opened to
+// upstreams by distance.
 type Counts struct {
-	Bytes  [purposes][slots]uint64
-	Opened [slots]uint64
+	Bytes  [purposeCount][distanceCount]uint64
+	Opened [distanceCount]uint64
 }
 
-// Minus is what was counted since an earlier moment.
+// Minus returns the difference between c and earlier counts of the same meter.
 func (c Counts) Minus(earlier Counts) Counts {
 	for p := range c.Bytes {
 		for d := range c.Bytes[p] {
@@ -67,13 +68,14 @@
 	return c
 }
 
-// Meter counts. It is safe for concurrent use; the zero value has counted nothing.
+// Meter counts bytes and connections. The zero value is ready to use. It is safe for
+// concurrent use.
 type Meter struct {
-	bytes  [purposes][slots]atomic.Uint64
-	opened [slots]atomic.Uint64
+	bytes  [purposeCount][distanceCount]atomic.Uint64
+	opened [distanceCount]atomic.Uint64
 }
 
-// Add counts bytes.
+// Add counts bytes exchanged for a purpose over a distance.
 func (m *Meter) Add(p Purpose, d locality.Distance, bytes int) {
 	m.bytes[p][d].Add(uint64(bytes))
 }
@@ -81,7 +83,7 @@
 // Opened counts a connection opened to an upstream.
 func (m *Meter) Opened(d locality.Distance) { m.opened[d].Add(1) }
 
-// Counts is what was counted so far.
+// Counts returns the current counts.
 func (m *Meter) Counts() Counts {
 	var c Counts
 	for p := range c.Bytes {
@@ -95,8 +97,8 @@
 	return c
 }
 
-// Listener counts the bytes of the connections that a listener accepts. Who connects
-// tells no place.
+// Listener returns a listener that counts the bytes of all connections accepted by ln. Their
+// distance is Unknown, since peers do not identify their location.
 func (m *Meter) Listener(ln net.Listener, p Purpose) net.Listener {
 	return listener{ln, m, p}
 }
@@ -116,12 +118,13 @@
 	return l.meter.Conn(c, l.purpose, locality.Unknown), nil
 }
 
-// Conn counts the bytes of a connection, both ways.
+// Conn returns a connection that counts the bytes read from and written to c.
 func (m *Meter) Conn(c net.Conn, p Purpose, d locality.Distance) net.Conn {
 	return &conn{Conn: c, count: func(n int) { m.Add(p, d, n) }}
 }
 
-// CountConn gives the number of bytes of each read and write of a connection to count.
+// CountConn returns a connection that calls count with the number of bytes of each read and
+// write on c.
 func CountConn(c net.Conn, count func(bytes int)) net.Conn { return &conn{c, count} }
 
 type conn struct {
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -10,10 +10,9 @@
 	"sycamorekeel.example/sycamorekeel/internal/locality"
 )
 
-// Symptom: a fleet pays for bytes between regions, and nobody can say what sends them.
-// Sequence: probes, pages and parts of queries share the links.
-// Cause: only sums are counted.
-func TestCountsTellPurposeAndDistance(t *testing.T) {
+// Guards against counts from which the cause of bytes between regions is not evident: probes,
+// pages and sub-requests share the links, so totals are not enough.
+func TestCountsByPurposeAndDistance(t *testing.T) {
 	var m Meter
 	m.Add(Gossip, locality.Far, 300)
 	before := m.Counts()
@@ -33,7 +32,7 @@
 			t.Errorf("%s is %v, want %d", name, enc.Fields[name], n)
 		}
 		if _, _, ok := Field(name); !ok {
-			t.Errorf("%s is not told from other fields", name)
+			t.Errorf("Field does not recognise %s", name)
 		}
 	}
 }
@@ -53,15 +52,15 @@
 	}
 }
 
-func TestConnectionsCountBothWays(t *testing.T) {
+func TestConnCountsReadsAndWrites(t *testing.T) {
 	var m Meter
-	ours, theirs := net.Pipe()
-	c := m.Conn(ours, Store, locality.Unknown)
+	local, remote := net.Pipe()
+	c := m.Conn(local, Store, locality.Unknown)
 	go func() {
 		b := make([]byte, 3)
-		_, _ = theirs.Read(b)
-		_, _ = theirs.Write([]byte("answer"))
-		_ = theirs.Close()
+		_, _ = remote.Read(b)
+		_, _ = remote.Write([]byte("answer"))
+		_ = remote.Close()
 	}()
 	if _, err := c.Write([]byte("ask")); err != nil {
 		t.Fatal(err)
