--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,4 +1,5 @@
-// Package placement decides which VMs callers are told to use. It is pure.
+// Package placement selects the VMs that callers should send their requests to. It does no
+// I/O.
 package placement
 
 import (
@@ -13,88 +14,94 @@
 	"sycamorekeel.example/sycamorekeel/internal/routing"
 )
 
-// StrainedCapacity is announced by a VM that has become slow: it takes callers
-// only while no other VM does.
+// StrainedCapacity is the capacity that a VM announces when it has become slow. Callers
+// are sent to such a VM only if no other VM is available to them.
 const StrainedCapacity = 1
 
-// Caller is what a caller says of itself.
+// Caller describes a caller and its request to the directory.
 type Caller struct {
 	Region     string
 	DataCentre string
-	// Host is what the caller asks for.
+	// Host is the host that the caller wants to send requests to.
 	Host string
-	// Homes is the regions beside its own whose VMs may take its requests.
+	// Homes is the set of regions whose VMs may serve the caller, in addition to those
+	// in its own region.
 	Homes routing.Homes
 }
 
-// mayUse tells whether the caller's requests may be sent to a VM.
+// mayUse reports whether the caller may send its requests to a VM.
 func (c *Caller) mayUse(m *membership.Member) bool {
 	return m.Region == c.Region || c.Homes.Allow(m.Region)
 }
 
-// Bounds bound an answer.
+// Bounds holds the parameters of Choose that are common to all callers.
 type Bounds struct {
-	// Upstreams is how many upstreams each data centre has. A query exchanges one
-	// message with its caller and dozens with upstreams, so VMs beside them go
-	// first.
+	// Upstreams is the number of upstreams in each data centre. A query exchanges one
+	// message with its caller and dozens with upstreams, so VMs in the data centres
+	// of the upstreams are preferred.
 	Upstreams map[string]int
-	// Most is the most VMs of an answer.
+	// Most is the maximum number of VMs in an answer.
 	Most int
-	// Work is the capacity that the VMs of one answer should have together, in
+	// Work is the total capacity that the VMs in an answer should have, in
 	// thousandths of a core.
 	Work uint32
-	// Least is the fewest VMs of an answer while there are as many: a caller
-	// whose only VM is lost waits until it can ask again.
+	// Least is the minimum number of VMs in an answer if there are enough. A caller
+	// whose only VM is lost has to wait until it may query the directory again.
 	Least int
 }
 
-// Choose is the caller addresses of the VMs that callers of one place share,
-// best first: alive and with capacity, of the caller's region if it has any, else of the
-// homes of its requests, and there beside most upstreams. Callers of one place get the same answer,
-// so that connections and what is learnt of upstreams are shared well.
+// Choose returns the caller addresses of the VMs that the caller should use, best first. It
+// considers VMs that have capacity and are ALIVE or, if there are none, SUSPECT. VMs in the
+// caller's region are preferred to those in the home regions of its requests, and among these
+// the VMs in data centres with many upstreams. All VMs of an answer are in the same tier.
+//
+// Callers in the same region with the same homes get the same answer, so that they share
+// connections to upstreams and the VMs' knowledge of them.
 func Choose(members []membership.Member, c Caller, b Bounds) []string {
-	candidates := usable(members, func(m *membership.Member) bool { return c.mayUse(m) && m.State == pb.MemberState_ALIVE })
+	candidates := eligible(members, func(m *membership.Member) bool { return c.mayUse(m) && m.State == pb.MemberState_ALIVE })
 	if len(candidates) == 0 {
-		candidates = usable(members, c.mayUse)
+		candidates = eligible(members, c.mayUse)
 	}
-	place := rendezvous.Mix(xxhash.Sum64String(c.Region))
-	beside := besideUpstreams(candidates, c, b.Upstreams)
+	regionHash := rendezvous.Mix(xxhash.Sum64String(c.Region))
+	fewUpstreams := rankByUpstreams(candidates, c, b.Upstreams)
 	slices.SortFunc(candidates, func(x, y *membership.Member) int {
 		return cmp.Or(
-			cmp.Compare(distance(x, c), distance(y, c)),
-			cmp.Compare(beside[x.DataCentre], beside[y.DataCentre]),
+			cmp.Compare(tier(x, c), tier(y, c)),
+			cmp.Compare(fewUpstreams[x.DataCentre], fewUpstreams[y.DataCentre]),
 			cmp.Compare(y.Capacity, x.Capacity),
-			cmp.Compare(weight(y, place), weight(x, place)),
+			cmp.Compare(weight(y, regionHash), weight(x, regionHash)),
 		)
 	})
-	spread(candidates, b.Least, func(m *membership.Member) bool {
+	promoteSecondDataCentre(candidates, b.Least, func(m *membership.Member) bool {
 		first := candidates[0]
-		return m.DataCentre != first.DataCentre && distance(m, c) == distance(first, c) &&
-			beside[m.DataCentre] == beside[first.DataCentre] && 2*m.Capacity >= first.Capacity
+		return m.DataCentre != first.DataCentre && tier(m, c) == tier(first, c) &&
+			fewUpstreams[m.DataCentre] == fewUpstreams[first.DataCentre] && 2*m.Capacity >= first.Capacity
 	})
 	var out []string
-	var work uint32
+	var capacity uint32
 	for i, m := range candidates {
-		far := distance(m, c) > distance(candidates[0], c)
-		if len(out) >= b.Most || len(out) >= b.Least && work >= b.Work || len(out) > 0 && far {
+		lowerTier := tier(m, c) > tier(candidates[0], c)
+		if len(out) >= b.Most || len(out) >= b.Least && capacity >= b.Work || len(out) > 0 && lowerTier {
 			break
 		}
 		out = append(out, candidates[i].CallerAddress)
-		work += m.Capacity
+		capacity += m.Capacity
 	}
 	return out
 }
 
-// spread moves the first candidate of a second data centre that is as good as the first
-// one's up to the last of the places that every answer has, if all before it are in one data
-// centre. Callers whose VMs are all lost find no connection until they may ask again, and a
-// data centre is lost whole more often than two are.
-func spread(candidates []*membership.Member, least int, asGood func(*membership.Member) bool) {
+// promoteSecondDataCentre moves the first candidate for which equivalent returns true to
+// index least-1, unless it already is among the first least candidates. equivalent returns
+// true for candidates in another data centre that are about as good as the first candidate.
+//
+// Callers that have lost all their VMs have no connection until they may query the directory
+// again, and a whole data centre is lost more often than two at a time.
+func promoteSecondDataCentre(candidates []*membership.Member, least int, equivalent func(*membership.Member) bool) {
 	last := least - 1
 	if last < 1 || last >= len(candidates) {
 		return
 	}
-	i := slices.IndexFunc(candidates, asGood)
+	i := slices.IndexFunc(candidates, equivalent)
 	if i <= last {
 		return
 	}
@@ -103,29 +110,31 @@
 	candidates[last] = m
 }
 
-// besideUpstreams gives 0 for the data centres that have at least half as many
-// upstreams as the best one at the least distance, and 1 for the others. By plain
-// numbers, one upstream that comes or goes would move all callers of a region.
-func besideUpstreams(candidates []*membership.Member, c Caller, upstreams map[string]int) map[string]int {
-	most, least := 0, 0
+// rankByUpstreams ranks the data centres of the candidates: 0 for those that have at least
+// half as many upstreams as the largest one in the best tier, and 1 for the others. If the
+// numbers were compared directly, a change by one upstream could move all callers of a region.
+func rankByUpstreams(candidates []*membership.Member, c Caller, upstreams map[string]int) map[string]int {
+	maxUpstreams, bestTier := 0, 0
 	for i, m := range candidates {
-		switch d := distance(m, c); {
-		case i == 0 || d < least:
-			least, most = d, upstreams[m.DataCentre]
-		case d == least:
-			most = max(most, upstreams[m.DataCentre])
+		switch t := tier(m, c); {
+		case i == 0 || t < bestTier:
+			bestTier, maxUpstreams = t, upstreams[m.DataCentre]
+		case t == bestTier:
+			maxUpstreams = max(maxUpstreams, upstreams[m.DataCentre])
 		}
 	}
 	out := map[string]int{}
 	for _, m := range candidates {
-		if 2*upstreams[m.DataCentre] < most {
+		if 2*upstreams[m.DataCentre] < maxUpstreams {
 			out[m.DataCentre] = 1
 		}
 	}
 	return out
 }
 
-func usable(members []membership.Member, ok func(*membership.Member) bool) []*membership.Member {
+// eligible returns the members that serve, have capacity and a caller address, and satisfy
+// ok.
+func eligible(members []membership.Member, ok func(*membership.Member) bool) []*membership.Member {
 	var out []*membership.Member
 	for i := range members {
 		m := &members[i]
@@ -136,9 +145,10 @@
 	return out
 }
 
-// distance ranks how far a VM is from the caller: regions count, data centres of
-// one region are alike, and a strained VM is further than any other.
-func distance(m *membership.Member, c Caller) int {
+// tier returns the preference of a VM for the caller: 0 for VMs in its region, 1 for VMs in
+// other regions, 2 for VMs with StrainedCapacity in any region. Data centres of a region are
+// in the same tier.
+func tier(m *membership.Member, c Caller) int {
 	switch {
 	case m.Capacity <= StrainedCapacity:
 		return 2
@@ -149,11 +159,13 @@
 	}
 }
 
-func weight(m *membership.Member, place uint64) uint64 {
-	return rendezvous.Weight(xxhash.Sum64String(m.VM), place)
+// weight returns the rendezvous weight of a VM for a region.
+func weight(m *membership.Member, regionHash uint64) uint64 {
+	return rendezvous.Weight(xxhash.Sum64String(m.VM), regionHash)
 }
 
-// Carriers is the caller addresses that callers of any region are told to use.
+// Carriers returns the union of the caller addresses that Choose returns for the regions of all
+// members, for callers without home regions.
 func Carriers(members []membership.Member, b Bounds) map[string]bool {
 	out := map[string]bool{}
 	seen := map[string]bool{}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -10,7 +10,7 @@
 	"sycamorekeel.example/sycamorekeel/internal/routing"
 )
 
-// vm makes a member of region and data centre "r/dc".
+// vm returns a member whose place is given as "region/data centre".
 func vm(name, place string, capacity uint32, state pb.MemberState) membership.Member {
 	region, dc, _ := strings.Cut(place, "/")
 	return membership.Member{VM: name, Region: region, DataCentre: dc, CallerAddress: name, Capacity: capacity, State: state}
@@ -33,16 +33,16 @@
 	}{
 		{"none", nil, ""},
 		{"own region first", []membership.Member{vm("far", "s/x", 800, alive), vm("near", "r/a", 100, alive)}, "near"},
-		{"strong ones first, as many as the work takes",
+		{"highest capacity first, until the total capacity is reached",
 			[]membership.Member{vm("weak", "r/a", 100, alive), vm("s1", "r/a", 800, alive), vm("s2", "r/a", 800, alive), vm("s3", "r/a", 700, alive)}, "s1 s2"},
-		{"more of weak ones",
+		{"more VMs if their capacity is low",
 			[]membership.Member{vm("w1", "r/a", 300, alive), vm("w2", "r/a", 300, alive), vm("w3", "r/a", 300, alive), vm("w4", "r/a", 300, alive)}, "w1 w2 w3"},
-		{"beside the upstreams", []membership.Member{vm("strong", "r/a", 800, alive), vm("beside", "r/b", 400, alive), vm("too", "r/b", 400, alive)}, "beside too"},
-		{"not the leaving, the dead, the unready",
+		{"same data centre as the upstreams", []membership.Member{vm("strong", "r/a", 800, alive), vm("beside", "r/b", 400, alive), vm("too", "r/b", 400, alive)}, "beside too"},
+		{"leaving, dead and unready excluded",
 			[]membership.Member{vm("l", "r/a", 800, leaving), vm("d", "r/a", 800, dead), vm("u", "r/a", 0, alive), vm("ok", "r/a", 100, alive)}, "ok"},
-		{"suspects only when there are no others", []membership.Member{vm("s", "r/a", 800, suspect), vm("ok", "s/x", 100, alive)}, "ok"},
-		{"the strained only when there are no others", []membership.Member{vm("st", "r/a", StrainedCapacity, alive), vm("far", "s/x", 100, alive)}, "far"},
-		{"the strained rather than none", []membership.Member{vm("st", "r/a", StrainedCapacity, alive)}, "st"},
+		{"suspects only if there are no others", []membership.Member{vm("s", "r/a", 800, suspect), vm("ok", "s/x", 100, alive)}, "ok"},
+		{"strained only if there are no others", []membership.Member{vm("st", "r/a", StrainedCapacity, alive), vm("far", "s/x", 100, alive)}, "far"},
+		{"strained rather than none", []membership.Member{vm("st", "r/a", StrainedCapacity, alive)}, "st"},
 		{"suspects rather than none", []membership.Member{vm("s", "r/a", 800, suspect), vm("d", "r/a", 800, dead)}, "s"},
 	} {
 		got := Choose(c.members, Caller{Region: "r"}, bounds)
@@ -53,7 +53,8 @@
 	}
 }
 
-// Guards against callers that are sent to VMs outside of the homes of their requests.
+// Guards against sending callers to VMs outside of their region and the home regions of
+// their requests.
 func TestCallersAreSentToTheirRegionOrToAHome(t *testing.T) {
 	own, home, other := vm("own", "r/a", 100, alive), vm("home", "h/a", 100, alive), vm("other", "o/a", 900, alive)
 	strained := vm("strained", "r/a", StrainedCapacity, alive)
@@ -64,11 +65,11 @@
 		want    string
 	}{
 		{"own region first", []membership.Member{own, home, other}, "own"},
-		{"else a home", []membership.Member{home, other}, "home"},
-		{"a home before strained ones", []membership.Member{strained, home, other}, "home"},
-		{"strained ones before those outside", []membership.Member{strained, other}, "strained"},
-		{"suspects at home before those outside", []membership.Member{suspected, other}, "suspected"},
-		{"none outside", []membership.Member{other}, ""},
+		{"otherwise a home region", []membership.Member{home, other}, "home"},
+		{"home region before strained VMs", []membership.Member{strained, home, other}, "home"},
+		{"strained VMs before VMs outside of the homes", []membership.Member{strained, other}, "strained"},
+		{"suspects in a home region before VMs outside of the homes", []membership.Member{suspected, other}, "suspected"},
+		{"none outside of the homes", []membership.Member{other}, ""},
 	} {
 		got := Choose(c.members, Caller{Region: "r", Homes: routing.HomesIn("h")}, bounds)
 		if strings.Join(got, " ") != c.want {
@@ -77,10 +78,9 @@
 	}
 }
 
-// Symptom: the callers of a region change their VMs whenever an upstream crashes.
-// Sequence: two data centres have about as many upstreams; one loses one.
-// Cause: VMs were ordered by the plain numbers.
-func TestOneUpstreamMoreOrLessMovesNoCaller(t *testing.T) {
+// Guards against callers of a region that move to other VMs whenever an upstream crashes:
+// two data centres have similar numbers of upstreams, and one loses an upstream.
+func TestSimilarUpstreamCountsMoveNoCaller(t *testing.T) {
 	members := []membership.Member{
 		vm("a1", "r/a", 800, alive), vm("a2", "r/a", 800, alive), vm("b1", "r/b", 800, alive), vm("b2", "r/b", 800, alive),
 	}
@@ -95,7 +95,7 @@
 	}
 }
 
-// Callers of one region are all told the same VMs, so that they share them.
+// Checks that Carriers contains every address that callers of a region get.
 func TestCarriersAreWhatCallersAreTold(t *testing.T) {
 	members := []membership.Member{
 		vm("r1", "r/a", 400, alive), vm("r2", "r/a", 400, alive), vm("r3", "r/a", 400, alive),
@@ -103,21 +103,21 @@
 	}
 	carriers := Carriers(members, bounds)
 	if len(carriers) != 4 {
-		t.Fatalf("%v carry", carriers)
+		t.Fatalf("carriers %v, want 4", carriers)
 	}
 	for _, region := range []string{"r", "s"} {
 		for _, a := range Choose(members, Caller{Region: region}, bounds) {
 			if !carriers[a] {
-				t.Errorf("%s is told to callers and not counted", a)
+				t.Errorf("%s is returned to callers but missing from the carriers", a)
 			}
 		}
 	}
 }
 
-// Symptom: after the loss of a data centre, or of a quarter of the VMs, the callers of a
-// region find no connection for seconds: 190 requests of 6,147 on a day with such a loss.
-// Sequence: both VMs that they were told to use are lost; they keep the answer for its term.
-// Cause: an answer named two VMs, and both of one data centre.
+// Guards against callers without a connection for seconds after the loss of a data centre or
+// of a quarter of the VMs. An answer used to contain two VMs of the same data centre, and
+// callers that lost both kept using it until its TTL expired: 190 of 6,147 requests found no
+// connection on a day with such a loss.
 func TestAnAnswerOutlivesADataCentre(t *testing.T) {
 	var members []membership.Member
 	for _, name := range []string{"a1", "a2", "a3", "b1", "b2", "b3"} {
@@ -128,19 +128,19 @@
 		b.Upstreams = upstreams
 		for _, region := range []string{"r", "s", "t"} {
 			got := Choose(members, Caller{Region: region}, b)
-			places := map[byte]bool{}
+			dataCentres := map[byte]bool{}
 			for _, address := range got {
-				places[address[0]] = true
+				dataCentres[address[0]] = true
 			}
-			if len(got) != 3 || len(places) != 2 {
-				t.Errorf("callers of %s are told %v", region, got)
+			if len(got) != 3 || len(dataCentres) != 2 {
+				t.Errorf("callers of region %s get %v, want 3 VMs in 2 data centres", region, got)
 			}
 		}
 	}
 	b.Upstreams = map[string]int{"a": 18}
 	for _, address := range Choose(members, Caller{Region: "r"}, b) {
 		if address[0] != 'a' {
-			t.Errorf("%s is told though no upstream is beside it", address)
+			t.Errorf("%s is in the answer although its data centre has no upstreams", address)
 		}
 	}
 }
