--- a/internal/query/bench_test.go
+++ b/internal/query/bench_test.go
@@ -17,13 +17,13 @@
 	"sycamorekeel.example/sycamorekeel/internal/router"
 )
 
-// echo is an owner whose upstreams answer at once.
-type echo struct{ body []byte }
+// instantOwner is an owner whose upstreams answer at once.
+type instantOwner struct{ body []byte }
 
-func (e *echo) Submit(_ dispatch.Key, req *pb.SubRequest, reply func(*pb.SubReply)) {
+func (e *instantOwner) Submit(_ dispatch.Key, req *pb.SubRequest, reply func(*pb.SubReply)) {
 	reply(&pb.SubReply{Id: req.Id, Result: pb.Result_OK, Snapshot: req.Snapshot, Body: e.body})
 }
-func (*echo) Cancel(dispatch.Key, string) {}
+func (*instantOwner) Cancel(dispatch.Key, string) {}
 
 func benchMap(shards int) *contract.ShardMap {
 	m := &contract.ShardMap{Generation: 1, Versions: []uint64{7}, Documents: uint64(shards)}
@@ -45,8 +45,8 @@
 	return []byte(`{"hits":[` + strings.Join(list, ",") + `]}`)
 }
 
-// benchmarkQuery runs whole queries, from the plan to the merged answer, in
-// four callers at a time. The figures are for each sub-request.
+// benchmarkQuery runs whole queries, from the plan to the merged answer, in GOMAXPROCS
+// parallel callers on four workers. It reports the CPU time for each sub-request.
 func benchmarkQuery(b *testing.B, shards, hits int) {
 	m := benchMap(shards)
 	svc := &contract.Service{Name: "search", Maps: []*contract.ShardMap{m}}
@@ -54,13 +54,13 @@
 		Name: "search", Idempotent: true, HedgePercent: 5, RetryPercent: 10, Merge: pb.Merge_TOP_K,
 	}}
 	var e *query.Engine
-	r := router.New(router.Options{VM: "vm-1", Direct: true, Owner: &echo{body: benchBody(hits)}, Deliver: func(rep *pb.SubReply) { e.Deliver(rep) }})
+	r := router.New(router.Options{VM: "vm-1", Direct: true, Owner: &instantOwner{body: benchBody(hits)}, Deliver: func(rep *pb.SubReply) { e.Deliver(rep) }})
 	e = query.NewEngine(query.EngineOptions{Fleet: r, Sender: r, Loops: 4, Now: time.Now, Metrics: query.NewMetrics(prometheus.NewRegistry())})
 	ctx, cancel := context.WithCancel(context.Background())
 	e.Start(ctx)
 	b.ReportAllocs()
 	b.ResetTimer()
-	before := processorTime(b)
+	before := cpuTime(b)
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
 			now := time.Now()
@@ -74,15 +74,15 @@
 		}
 	})
 	b.StopTimer()
-	used := processorTime(b) - before
+	used := cpuTime(b) - before
 	cancel()
 	e.Wait()
 	b.ReportMetric(float64(used.Nanoseconds())/float64(b.N*shards), "cpu-ns/sub-request")
 }
 
-// processorTime is what the process has used so far, the collector's part
-// included. Unlike elapsed time it says little of what else the machine does.
-func processorTime(b *testing.B) time.Duration {
+// cpuTime returns the CPU time that the process has used so far, including garbage
+// collection. Unlike elapsed time it depends little on other load on the machine.
+func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		b.Fatal(err)
@@ -94,8 +94,8 @@
 func BenchmarkQuery100(b *testing.B) { benchmarkQuery(b, 100, 0) }
 func BenchmarkQuery380(b *testing.B) { benchmarkQuery(b, 380, 0) }
 
-// BenchmarkQuery380Hits has five hits in each answer: the difference is decoding
-// and merging.
+// BenchmarkQuery380Hits has five hits in each answer. The difference to
+// BenchmarkQuery380 is the cost of decoding and merging.
 func BenchmarkQuery380Hits(b *testing.B) { benchmarkQuery(b, 380, 5) }
 
 func BenchmarkMerge(b *testing.B) {
--- /dev/null
+++ b/internal/query/capacity.go
@@ -0,0 +1,16 @@
+package query
+
+import "sycamorekeel.example/sycamorekeel/internal/pb"
+
+// FoundNoRoom reports whether an owner or upstream refused the shard at least once for
+// lack of capacity: it shed the sub-request, its queue was full, or it could not start
+// it in time.
+func (s *ShardOutcome) FoundNoRoom() bool {
+	for i := range s.Attempts {
+		switch s.Attempts[i].Result {
+		case resultLabel(pb.Result_SHED), resultLabel(pb.Result_QUEUE_FULL), resultLabel(pb.Result_TOO_LATE):
+			return true
+		}
+	}
+	return false
+}
--- a/internal/query/engine.go
+++ b/internal/query/engine.go
@@ -9,41 +9,43 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// loopBits of a sub-request id tell the loop that waits for its reply.
+// loopBits is the number of low bits of a sub-request id that hold the index of the
+// loop that awaits its reply.
 const loopBits = 6
 
-// maxLoops is the most loops the id has room for.
+// maxLoops is the largest number of loops that fits into the id.
 const maxLoops = 1 << loopBits
 
-// Sender carries sub-requests to the owners of their upstreams. It must not
-// block; every sub-request that is not cancelled is answered by Engine.Deliver.
+// Sender delivers sub-requests to the owners of their upstreams. It must not block.
+// Every sub-request that is not cancelled must be answered through Engine.Deliver.
 type Sender interface {
-	// Send carries the sub-request in f; vm is where it went.
+	// Send sends the sub-request in f and returns the VM it was sent to.
 	Send(a *Action, f *pb.Frame) (vm string)
-	// Cancel withdraws the sub-request id from the VM it went to.
+	// Cancel cancels the sub-request id at the VM it was sent to.
 	Cancel(vm, upstream string, id uint64)
 }
 
-// EngineOptions is what an engine needs.
+// EngineOptions configures an Engine.
 type EngineOptions struct {
 	Fleet  Fleet
 	Sender Sender
-	// Loops is the number of workers the queries are spread over.
+	// Loops is the number of workers that share the queries. Values outside 1 to
+	// maxLoops are clamped.
 	Loops   int
 	Now     func() time.Time
 	Metrics *Metrics
 }
 
-// Engine runs queries on a fixed pool of workers. Each query belongs to one
-// worker, so the state machine needs no lock.
+// Engine runs queries on a fixed pool of workers. Each query belongs to one worker, so
+// the state machine needs no lock.
 type Engine struct {
-	opts  EngineOptions
-	loops []*loop
-	next  atomic.Uint64
-	done  sync.WaitGroup
+	opts    EngineOptions
+	loops   []*loop
+	next    atomic.Uint64
+	workers sync.WaitGroup
 }
 
-// NewEngine makes an engine; Start runs its workers.
+// NewEngine returns an engine whose workers are not yet running.
 func NewEngine(opts EngineOptions) *Engine {
 	e := &Engine{opts: opts}
 	for i := range max(1, min(opts.Loops, maxLoops)) {
@@ -55,97 +57,97 @@
 // Start runs the workers until ctx ends.
 func (e *Engine) Start(ctx context.Context) {
 	for _, l := range e.loops {
-		e.done.Add(1)
+		e.workers.Add(1)
 		go func() {
-			defer e.done.Done()
+			defer e.workers.Done()
 			l.run(ctx)
 		}()
 	}
 }
 
-// Wait returns when the workers have ended.
+// Wait blocks until the workers have ended.
 func (e *Engine) Wait() {
-	e.done.Wait()
+	e.workers.Wait()
 }
 
-// Run carries a plan out. When ctx ends first the query is abandoned and its
-// sub-requests are cancelled. The answers are decoded here, in the caller's
-// goroutine, while further ones are awaited: a large answer delays no other
-// query.
+// Run executes a plan. If ctx ends first, Run abandons the query, cancels its
+// sub-requests and returns the context's error. Answers are decoded in the caller's
+// goroutine while others are still awaited, so a large answer does not delay other
+// queries.
 func (e *Engine) Run(ctx context.Context, plan *Plan) (*Outcome, error) {
 	l := e.loops[e.next.Add(1)%uint64(len(e.loops))]
-	run := newRunning(New(plan, e.opts.Fleet), plan)
-	l.post(mail{start: run})
+	run := newRunningQuery(New(plan, e.opts.Fleet), plan)
+	l.post(event{start: run})
 	for {
 		select {
 		case out := <-run.finished:
 			return out, nil
-		case <-run.bodies:
-			l.post(mail{decoded: run.decode(), run: run})
+		case <-run.bodiesReady:
+			l.post(event{decoded: run.decode(), run: run})
 		case <-ctx.Done():
-			l.post(mail{abandon: run})
+			l.post(event{abandon: run})
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// Deliver hands a reply to the query that waits for it. It never blocks.
+// Deliver passes a reply to the query that awaits it. It never blocks.
 func (e *Engine) Deliver(r *pb.SubReply) {
 	i := r.Id & (maxLoops - 1)
 	if i >= uint64(len(e.loops)) {
-		e.opts.Metrics.stray(foreign)
+		e.opts.Metrics.countStray(strayForeign)
 		return
 	}
-	e.loops[i].post(mail{reply: r})
+	e.loops[i].post(event{reply: r})
 }
 
-// running is a query on its worker.
-type running struct {
+// runningQuery is a query together with what its worker and its caller share.
+type runningQuery struct {
 	query    *Query
 	plan     *Plan
 	finished chan *Outcome
 	wake     time.Time
-	// slot is the place in the worker's timer heap, -1 when in none.
-	slot int
-
-	// bodies tells the caller's goroutine that there is something to decode.
-	bodies chan struct{}
-	mu     sync.Mutex
-	raw    []rawBody
-	spare  []rawBody
+	// heapIndex is the index in the worker's timer heap, -1 if the query is not in it.
+	heapIndex int
+
+	// bodiesReady signals the caller's goroutine that undecoded is not empty.
+	bodiesReady chan struct{}
+	mu          sync.Mutex
+	undecoded   []rawBody
+	freeBodies  []rawBody
 }
 
-// rawBody is an answer to decode.
+// rawBody is the undecoded body of an answer.
 type rawBody struct {
 	attempt AttemptID
 	body    []byte
 }
 
-// decodedBody is an answer's hits, or why it could not be read.
+// decodedBody holds the hits of an answer or the error from decoding it.
 type decodedBody struct {
 	attempt AttemptID
 	hits    []Hit
 	err     error
 }
 
-func newRunning(q *Query, plan *Plan) *running {
-	return &running{query: q, plan: plan, finished: make(chan *Outcome, 1), bodies: make(chan struct{}, 1), slot: -1}
+func newRunningQuery(q *Query, plan *Plan) *runningQuery {
+	return &runningQuery{query: q, plan: plan, finished: make(chan *Outcome, 1), bodiesReady: make(chan struct{}, 1), heapIndex: -1}
 }
 
-func (r *running) addBody(b rawBody) {
+func (r *runningQuery) addBody(b rawBody) {
 	r.mu.Lock()
-	r.raw = append(r.raw, b)
+	r.undecoded = append(r.undecoded, b)
 	r.mu.Unlock()
 	select {
-	case r.bodies <- struct{}{}:
+	case r.bodiesReady <- struct{}{}:
 	default:
 	}
 }
 
-func (r *running) decode() []decodedBody {
+func (r *runningQuery) decode() []decodedBody {
 	r.mu.Lock()
-	raw := r.raw
-	r.raw, r.spare = r.spare[:0], nil
+	raw := r.undecoded
+	r.undecoded, r.freeBodies = r.freeBodies[:0], nil
 	r.mu.Unlock()
 	out := make([]decodedBody, len(raw))
 	for i, b := range raw {
@@ -153,6 +155,6 @@
 		out[i] = decodedBody{attempt: b.attempt, hits: hits, err: err}
 	}
 	clear(raw)
-	r.spare = raw
+	r.freeBodies = raw
 	return out
 }
--- a/internal/query/isolation.go
+++ b/internal/query/isolation.go
@@ -6,55 +6,57 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// holdPause is how often a sub-request that waits for another one's end is looked at: a
-// fraction of what an answer takes.
-const holdPause = 5 * time.Millisecond
+// holdPollInterval is the interval at which a held attempt is checked again. It is a
+// fraction of the usual time to an answer.
+const holdPollInterval = 5 * time.Millisecond
 
-// noteIsolation takes in what the end of an attempt says of the request itself.
-func (q *Query) noteIsolation(now time.Time, a *attempt, r *pb.SubReply) {
+// recordForIsolation updates the isolation state and the witness at the end of an
+// attempt.
+func (q *Query) recordForIsolation(now time.Time, a *attempt, r *pb.SubReply) {
 	switch {
 	case r.Result == pb.Result_OK || r.Result == pb.Result_UPSTREAM_ERROR:
 		q.isolation.Survived()
 		q.witness.Survived(now)
 	case r.UpstreamEnded:
-		q.isolation.Crashed(a.alone)
+		q.isolation.Crashed(a.isolated)
 		q.witness.Ended(a.upstream, q.started.Add(a.sentAt), now)
 	case r.Result == pb.Result_SHED || r.Result == pb.Result_UPSTREAM_LEAVING || r.Result == pb.Result_NO_SNAPSHOT:
-		q.isolation.Refused(a.alone)
+		q.isolation.Refused(a.isolated)
 	case !provesNotRun(r.Result):
-		q.isolation.Unanswered(a.alone)
+		q.isolation.Unanswered(a.isolated)
 	}
 }
 
-// holds tells whether a further sub-request has to wait, or is not to be sent at all. The
-// first ones of a query that is free go out without a look: whoever started it has looked.
-func (q *Query) holds(now time.Time, cause Cause) bool {
+// mustHold reports whether a further sub-request has to be held back or must not be
+// sent at all. First sub-requests of a query that is not isolated are sent without
+// asking the witness, because the caller of the query has already checked.
+func (q *Query) mustHold(now time.Time, cause Cause) bool {
 	if !q.isolation.Active() {
 		return cause != First && q.witness.Blocked(now)
 	}
-	return q.stopped(now) || q.anyOpen()
+	return q.sendingStopped(now) || q.hasOpenAttempt()
 }
 
-// stopped tells whether no upstream is to have the request any more.
-func (q *Query) stopped(now time.Time) bool {
+// sendingStopped reports whether the request must no longer be sent to any upstream.
+func (q *Query) sendingStopped(now time.Time) bool {
 	return q.isolation.Exhausted() || q.witness.Blocked(now)
 }
 
-// hold lets a shard wait until it may be looked at again; false when nothing would come of
-// it.
-func (q *Query) hold(now time.Time, shard int, n *next) bool {
-	if q.stopped(now) {
+// holdAttempt schedules a held attempt to be checked again. It returns false if sending
+// has stopped.
+func (q *Query) holdAttempt(now time.Time, shard int, n *nextAttempt) bool {
+	if q.sendingStopped(now) {
 		return false
 	}
-	q.shards[shard].again = n
-	q.wakeAt(shard, q.since(now)+holdPause)
+	q.shards[shard].pendingAttempt = n
+	q.setTimer(shard, q.elapsed(now)+holdPollInterval)
 	return true
 }
 
-// anyOpen tells whether a sub-request is under way.
-func (q *Query) anyOpen() bool {
+// hasOpenAttempt reports whether any sub-request of an open shard awaits a reply.
+func (q *Query) hasOpenAttempt() bool {
 	for i := range q.shards {
-		if sh := &q.shards[i]; !sh.closed && sh.anyOpen() {
+		if sh := &q.shards[i]; !sh.closed && sh.hasOpenAttempt() {
 			return true
 		}
 	}
--- a/internal/query/loop.go
+++ b/internal/query/loop.go
@@ -9,47 +9,47 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// mail is one event for a loop; exactly one of start, abandon, reply and
-// decoded is set.
-type mail struct {
-	start   *running
-	abandon *running
+// event is an input of a loop. Exactly one of start, abandon, reply and decoded is set.
+type event struct {
+	start   *runningQuery
+	abandon *runningQuery
 	reply   *pb.SubReply
-	// decoded belongs to run.
+	// run is the query that decoded belongs to.
 	decoded []decodedBody
-	run     *running
+	run     *runningQuery
 }
 
-// awaited is a sub-request whose reply is outstanding.
-type awaited struct {
-	run *running
+// pendingReply identifies the attempt of a sub-request that awaits its reply.
+type pendingReply struct {
+	run *runningQuery
 	id  AttemptID
 }
 
-// loop is one worker: it owns its queries and their timers.
+// loop is one worker. It owns its queries and their timers.
 type loop struct {
-	engine    *Engine
-	index     uint64
-	serial    uint64
-	byID      map[uint64]awaited
-	withdrawn recent
-	timers    timerHeap
-	// spare is the memory of ended queries.
-	spare []*memory
+	engine            *Engine
+	index             uint64
+	lastSerial        uint64
+	pending           map[uint64]pendingReply
+	recentlyCancelled recentIDs
+	timers            queryHeap
+	// freeBuffers is the memory of ended queries, for reuse.
+	freeBuffers []*buffers
 
 	mu     sync.Mutex
-	inbox  []mail
+	inbox  []event
 	signal chan struct{}
 }
 
 func newLoop(e *Engine, index uint64) *loop {
-	return &loop{engine: e, index: index, byID: map[uint64]awaited{}, withdrawn: newRecent(), signal: make(chan struct{}, 1)}
+	return &loop{engine: e, index: index, pending: map[uint64]pendingReply{}, recentlyCancelled: newRecentIDs(), signal: make(chan struct{}, 1)}
 }
 
-// post never blocks: a loop posts to itself when an owner on this VM refuses.
-func (l *loop) post(m mail) {
+// post queues an event. It never blocks, because a loop posts to itself when an owner
+// on this VM refuses a sub-request.
+func (l *loop) post(ev event) {
 	l.mu.Lock()
-	l.inbox = append(l.inbox, m)
+	l.inbox = append(l.inbox, ev)
 	l.mu.Unlock()
 	select {
 	case l.signal <- struct{}{}:
@@ -60,7 +60,7 @@
 func (l *loop) run(ctx context.Context) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	var spare []mail
+	var spare []event
 	for {
 		spare = l.drain(spare)
 		l.wakeDue()
@@ -74,18 +74,18 @@
 	}
 }
 
-// drain handles mail until there is none. Time passes for the queries only
-// then: after a pause of the process the answers that came meanwhile count
-// before the deadline, else every query under way at the pause would end with
-// nothing although its answers are here.
-func (l *loop) drain(spare []mail) []mail {
+// drain handles events until the inbox is empty. Only then do the timers of the queries
+// run: after a pause of the process, replies that arrived meanwhile count before the
+// deadline. Otherwise every query in progress during the pause would end empty although
+// its answers have arrived.
+func (l *loop) drain(spare []event) []event {
 	for {
 		l.mu.Lock()
 		batch := l.inbox
 		l.inbox = spare[:0]
 		l.mu.Unlock()
-		for _, m := range batch {
-			l.handle(m)
+		for _, ev := range batch {
+			l.handle(ev)
 		}
 		clear(batch)
 		spare = batch
@@ -95,49 +95,49 @@
 	}
 }
 
-func (l *loop) handle(m mail) {
+func (l *loop) handle(ev event) {
 	now := l.engine.opts.Now()
 	switch {
-	case m.start != nil:
-		m.start.query.use(l.memory())
-		l.apply(m.start, now, m.start.query.Start(now))
-	case m.abandon != nil:
-		l.apply(m.abandon, now, m.abandon.query.Abandon(now))
-	case m.reply != nil:
-		l.reply(now, m.reply)
+	case ev.start != nil:
+		ev.start.query.useBuffers(l.getBuffers())
+		l.execute(ev.start, now, ev.start.query.Start(now))
+	case ev.abandon != nil:
+		l.execute(ev.abandon, now, ev.abandon.query.Abandon(now))
+	case ev.reply != nil:
+		l.handleReply(now, ev.reply)
 	default:
-		for _, d := range m.decoded {
-			l.apply(m.run, now, m.run.query.Decoded(now, d.attempt, d.hits, d.err))
+		for _, d := range ev.decoded {
+			l.execute(ev.run, now, ev.run.query.Decoded(now, d.attempt, d.hits, d.err))
 		}
 	}
 }
 
-func (l *loop) reply(now time.Time, r *pb.SubReply) {
-	w, ok := l.byID[r.Id]
+func (l *loop) handleReply(now time.Time, r *pb.SubReply) {
+	p, ok := l.pending[r.Id]
 	if !ok {
-		l.engine.opts.Metrics.stray(l.strayKind(r))
+		l.engine.opts.Metrics.countStray(l.strayKind(r))
 		return
 	}
-	delete(l.byID, r.Id)
-	l.apply(w.run, now, w.run.query.Reply(now, w.id, r))
+	delete(l.pending, r.Id)
+	l.execute(p.run, now, p.run.query.Reply(now, p.id, r))
 }
 
-// strayKind tells why nobody waits for a reply.
+// strayKind classifies a reply that no query awaits.
 func (l *loop) strayKind(r *pb.SubReply) strayKind {
-	withdrawn := l.withdrawn.take(r.Id)
+	wasCancelled := l.recentlyCancelled.take(r.Id)
 	switch {
-	case withdrawn && r.Result == pb.Result_CANCELLED:
-		return cancelled
-	case withdrawn:
-		return late
-	case r.Id>>loopBits != 0 && r.Id>>loopBits <= l.serial:
-		return duplicate
+	case wasCancelled && r.Result == pb.Result_CANCELLED:
+		return strayCancelled
+	case wasCancelled:
+		return strayLate
+	case r.Id>>loopBits != 0 && r.Id>>loopBits <= l.lastSerial:
+		return strayDuplicate
 	default:
-		return foreign
+		return strayForeign
 	}
 }
 
-func (l *loop) apply(r *running, now time.Time, actions []Action) {
+func (l *loop) execute(r *runningQuery, now time.Time, actions []Action) {
 	ended := false
 	for i := range actions {
 		switch a := &actions[i]; a.Op {
@@ -145,53 +145,53 @@
 			l.send(r, now, a)
 		case OpCancel:
 			l.cancel(a)
-		case OpWithdraw:
-			l.engine.opts.Sender.Cancel(a.VM, a.Upstream.ID, a.Wire)
+		case OpConfirmCancel:
+			l.engine.opts.Sender.Cancel(a.VM, a.Upstream.ID, a.WireID)
 		case OpDecode:
 			r.addBody(rawBody{attempt: a.Attempt, body: a.Body})
 		case OpFinish:
-			l.engine.opts.Metrics.finished(a.Outcome)
+			l.engine.opts.Metrics.countQuery(a.Outcome)
 			r.finished <- a.Outcome
 			ended = true
 		}
 	}
 	l.schedule(r)
 	if ended {
-		l.keep(r.query.release())
+		l.putBuffers(r.query.releaseBuffers())
 	}
 }
 
-// maxSpare bounds the memory kept for queries to come.
-const maxSpare = 32
+// maxFreeBuffers limits the buffers kept for later queries.
+const maxFreeBuffers = 32
 
-func (l *loop) memory() *memory {
-	n := len(l.spare)
+func (l *loop) getBuffers() *buffers {
+	n := len(l.freeBuffers)
 	if n == 0 {
-		return &memory{}
+		return &buffers{}
 	}
-	m := l.spare[n-1]
-	l.spare = l.spare[:n-1]
-	return m
+	b := l.freeBuffers[n-1]
+	l.freeBuffers = l.freeBuffers[:n-1]
+	return b
 }
 
-func (l *loop) keep(m *memory) {
-	if len(l.spare) < maxSpare {
-		l.spare = append(l.spare, m)
+func (l *loop) putBuffers(b *buffers) {
+	if len(l.freeBuffers) < maxFreeBuffers {
+		l.freeBuffers = append(l.freeBuffers, b)
 	}
 }
 
-// outgoing is a sub-request with its frame in one piece of memory.
-type outgoing struct {
+// outgoingFrame holds a sub-request and its frame in one allocation.
+type outgoingFrame struct {
 	frame   pb.Frame
 	body    pb.Frame_Request
 	request pb.SubRequest
 }
 
-func (l *loop) send(r *running, now time.Time, a *Action) {
-	l.serial++
-	id := l.serial<<loopBits | l.index
-	l.byID[id] = awaited{run: r, id: a.Attempt}
-	o := &outgoing{}
+func (l *loop) send(r *runningQuery, now time.Time, a *Action) {
+	l.lastSerial++
+	id := l.lastSerial<<loopBits | l.index
+	l.pending[id] = pendingReply{run: r, id: a.Attempt}
+	o := &outgoingFrame{}
 	o.body.Request = &o.request
 	o.frame.Body = &o.body
 	req := &o.request
@@ -210,27 +210,27 @@
 }
 
 func (l *loop) cancel(a *Action) {
-	if _, ok := l.byID[a.Wire]; !ok {
+	if _, ok := l.pending[a.WireID]; !ok {
 		return
 	}
-	delete(l.byID, a.Wire)
-	l.withdrawn.add(a.Wire)
-	l.engine.opts.Sender.Cancel(a.VM, a.Upstream.ID, a.Wire)
+	delete(l.pending, a.WireID)
+	l.recentlyCancelled.add(a.WireID)
+	l.engine.opts.Sender.Cancel(a.VM, a.Upstream.ID, a.WireID)
 }
 
-// schedule keeps the query's place among the timers.
-func (l *loop) schedule(r *running) {
+// schedule updates the query's position in the timer heap.
+func (l *loop) schedule(r *runningQuery) {
 	wake := r.query.Next()
-	if wake.Equal(r.wake) && r.slot >= 0 {
+	if wake.Equal(r.wake) && r.heapIndex >= 0 {
 		return
 	}
 	r.wake = wake
 	switch {
-	case r.wake.IsZero() && r.slot >= 0:
-		heap.Remove(&l.timers, r.slot)
+	case r.wake.IsZero() && r.heapIndex >= 0:
+		heap.Remove(&l.timers, r.heapIndex)
 	case r.wake.IsZero():
-	case r.slot >= 0:
-		heap.Fix(&l.timers, r.slot)
+	case r.heapIndex >= 0:
+		heap.Fix(&l.timers, r.heapIndex)
 	default:
 		heap.Push(&l.timers, r)
 	}
@@ -240,7 +240,7 @@
 	now := l.engine.opts.Now()
 	for len(l.timers) > 0 && !now.Before(l.timers[0].wake) {
 		r := l.timers[0]
-		l.apply(r, now, r.query.Wake(now))
+		l.execute(r, now, r.query.Wake(now))
 	}
 }
 
@@ -251,24 +251,24 @@
 	return max(0, l.timers[0].wake.Sub(l.engine.opts.Now()))
 }
 
-type timerHeap []*running
+type queryHeap []*runningQuery
 
-func (h timerHeap) Len() int           { return len(h) }
-func (h timerHeap) Less(i, j int) bool { return h[i].wake.Before(h[j].wake) }
-func (h timerHeap) Swap(i, j int) {
+func (h queryHeap) Len() int           { return len(h) }
+func (h queryHeap) Less(i, j int) bool { return h[i].wake.Before(h[j].wake) }
+func (h queryHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].slot, h[j].slot = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
-func (h *timerHeap) Push(x any) {
-	r := x.(*running)
-	r.slot = len(*h)
+func (h *queryHeap) Push(x any) {
+	r := x.(*runningQuery)
+	r.heapIndex = len(*h)
 	*h = append(*h, r)
 }
-func (h *timerHeap) Pop() any {
+func (h *queryHeap) Pop() any {
 	old := *h
 	r := old[len(old)-1]
 	old[len(old)-1] = nil
-	r.slot = -1
+	r.heapIndex = -1
 	*h = old[:len(old)-1]
 	return r
 }
--- a/internal/query/merge.go
+++ b/internal/query/merge.go
@@ -12,21 +12,21 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// Hit is one found document.
+// Hit is one document that matches a query.
 type Hit struct {
 	ID    string  `json:"id"`
 	Score float64 `json:"score"`
-	// Fields is the upstream's JSON, passed on as it came.
+	// Fields is the upstream's JSON, passed on unchanged.
 	Fields json.RawMessage `json:"fields,omitempty"`
 }
 
-// Hits is the JSON answer of an upstream.
+// Hits is the JSON body of an upstream's answer.
 type Hits struct {
 	Hits []Hit `json:"hits"`
 }
 
-// DecodeHits reads an upstream's body. A body without the hits field is no
-// answer: taken as an empty one it would count as coverage that was not given.
+// DecodeHits decodes the body of an upstream's answer. A body without the hits field is
+// an error: treating it as an empty answer would count the shard as covered.
 func DecodeHits(body []byte) ([]Hit, error) {
 	var h Hits
 	if err := json.Unmarshal(body, &h); err != nil {
@@ -41,21 +41,21 @@
 	return h.Hits, nil
 }
 
-// MergeHits makes one answer of the shards' hits, at most limit; 0 takes all.
-// Equal scores come in the order of their ids, then of their shards, so that
+// MergeHits merges the hits of the shards into one answer of at most limit hits; a
+// limit of 0 returns all. Hits of equal score are ordered by id, then by shard, so that
 // the same answers always give the same result.
 func MergeHits(how pb.Merge, shards []ShardOutcome, limit int) []Hit {
 	if how != pb.Merge_TOP_K {
 		return concat(shards, limit)
 	}
 	if limit <= 0 {
-		return sorted(shards)
+		return allSorted(shards)
 	}
-	return top(shards, limit)
+	return topK(shards, limit)
 }
 
 func concat(shards []ShardOutcome, limit int) []Hit {
-	all := make([]Hit, 0, bounded(count(shards), limit))
+	all := make([]Hit, 0, clampToLimit(countHits(shards), limit))
 	for i := range shards {
 		all = append(all, shards[i].Hits...)
 		if limit > 0 && len(all) >= limit {
@@ -65,7 +65,7 @@
 	return all
 }
 
-func count(shards []ShardOutcome) int {
+func countHits(shards []ShardOutcome) int {
 	n := 0
 	for i := range shards {
 		n += len(shards[i].Hits)
@@ -73,48 +73,48 @@
 	return n
 }
 
-func bounded(n, limit int) int {
+func clampToLimit(n, limit int) int {
 	if limit > 0 {
 		return min(n, limit)
 	}
 	return n
 }
 
-// ranked is a hit with its place: the shard, then the order within it.
-type ranked struct {
-	hit   *Hit
-	place int
+// rankedHit is a hit with its position in the concatenation of all shards' hits.
+type rankedHit struct {
+	hit      *Hit
+	position int
 }
 
-// compare puts the better one first.
-func (r ranked) compare(o ranked) int {
+// compare orders the better hit first.
+func (r rankedHit) compare(o rankedHit) int {
 	if r.hit.Score != o.hit.Score {
 		return cmp.Compare(o.hit.Score, r.hit.Score)
 	}
 	if r.hit.ID != o.hit.ID {
 		return cmp.Compare(r.hit.ID, o.hit.ID)
 	}
-	return cmp.Compare(r.place, o.place)
+	return cmp.Compare(r.position, o.position)
 }
 
-func sorted(shards []ShardOutcome) []Hit {
-	list := make([]ranked, 0, count(shards))
+func allSorted(shards []ShardOutcome) []Hit {
+	list := make([]rankedHit, 0, countHits(shards))
 	for i := range shards {
 		for j := range shards[i].Hits {
-			list = append(list, ranked{&shards[i].Hits[j], len(list)})
+			list = append(list, rankedHit{&shards[i].Hits[j], len(list)})
 		}
 	}
-	return hitsOf(list)
+	return sortHits(list)
 }
 
-// top keeps the best limit hits in a heap with the worst of them on top. Most
-// hits of many shards are worse than that one and cost a single comparison.
-func top(shards []ShardOutcome, limit int) []Hit {
-	best := make(worstFirst, 0, min(limit, count(shards)))
+// topK keeps the best limit hits in a heap with the worst of them at the top. In a
+// query of many shards most hits are worse than that one and cost a single comparison.
+func topK(shards []ShardOutcome, limit int) []Hit {
+	best := make(worstOnTop, 0, min(limit, countHits(shards)))
 	place := 0
 	for i := range shards {
 		for j := range shards[i].Hits {
-			r := ranked{&shards[i].Hits[j], place}
+			r := rankedHit{&shards[i].Hits[j], place}
 			place++
 			switch {
 			case len(best) < limit:
@@ -125,11 +125,11 @@
 			}
 		}
 	}
-	return hitsOf(best)
+	return sortHits(best)
 }
 
-func hitsOf(list []ranked) []Hit {
-	slices.SortFunc(list, ranked.compare)
+func sortHits(list []rankedHit) []Hit {
+	slices.SortFunc(list, rankedHit.compare)
 	out := make([]Hit, len(list))
 	for i := range list {
 		out[i] = *list[i].hit
@@ -137,13 +137,13 @@
 	return out
 }
 
-type worstFirst []ranked
+type worstOnTop []rankedHit
 
-func (h worstFirst) Len() int           { return len(h) }
-func (h worstFirst) Less(i, j int) bool { return h[i].compare(h[j]) > 0 }
-func (h worstFirst) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *worstFirst) Push(x any)        { *h = append(*h, x.(ranked)) }
-func (h *worstFirst) Pop() any {
+func (h worstOnTop) Len() int           { return len(h) }
+func (h worstOnTop) Less(i, j int) bool { return h[i].compare(h[j]) > 0 }
+func (h worstOnTop) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *worstOnTop) Push(x any)        { *h = append(*h, x.(rankedHit)) }
+func (h *worstOnTop) Pop() any {
 	old := *h
 	r := old[len(old)-1]
 	*h = old[:len(old)-1]
--- a/internal/query/metrics.go
+++ b/internal/query/metrics.go
@@ -5,16 +5,16 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// Metrics counts what queries send and discard.
+// Metrics counts the sub-requests that queries send and the replies that they discard.
 type Metrics struct {
-	requests  *prometheus.CounterVec
-	after     *prometheus.CounterVec
-	refused   *prometheus.CounterVec
-	discarded *prometheus.CounterVec
-	strays    *prometheus.CounterVec
+	requests     *prometheus.CounterVec
+	resends      *prometheus.CounterVec
+	budgetDenied *prometheus.CounterVec
+	discarded    *prometheus.CounterVec
+	strayReplies *prometheus.CounterVec
 }
 
-// NewMetrics registers the counters.
+// NewMetrics registers the counters with r.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	f := promauto.With(r)
 	return &Metrics{
@@ -22,11 +22,11 @@
 			Name: "sycamorekeel_query_requests_total",
 			Help: "Sub-requests sent, by cause: hedge, retry and restart are extra load.",
 		}, []string{"cause"}),
-		after: f.NewCounterVec(prometheus.CounterOpts{
+		resends: f.NewCounterVec(prometheus.CounterOpts{
 			Name: "sycamorekeel_query_again_total",
 			Help: "Retries and redirects, by the result that they follow.",
 		}, []string{"cause", "result"}),
-		refused: f.NewCounterVec(prometheus.CounterOpts{
+		budgetDenied: f.NewCounterVec(prometheus.CounterOpts{
 			Name: "sycamorekeel_query_budget_refusals_total",
 			Help: "Hedges and retries that the customer's budget refused.",
 		}, []string{"cause"}),
@@ -34,40 +34,40 @@
 			Name: "sycamorekeel_query_discarded_total",
 			Help: "Answers thrown away: of another snapshot, malformed, or of a snapshot that retired under way.",
 		}, []string{"reason"}),
-		strays: f.NewCounterVec(prometheus.CounterOpts{
+		strayReplies: f.NewCounterVec(prometheus.CounterOpts{
 			Name: "sycamorekeel_query_stray_replies_total",
 			Help: "Replies nobody waited for: late, duplicate, foreign, or the confirmation of a cancel.",
 		}, []string{"reason"}),
 	}
 }
 
-// strayKind is why nobody waits for a reply.
+// strayKind is why no query awaits a reply.
 type strayKind string
 
 const (
-	late      strayKind = "late"
-	duplicate strayKind = "duplicate"
-	foreign   strayKind = "foreign"
-	cancelled strayKind = "cancelled"
+	strayLate      strayKind = "late"
+	strayDuplicate strayKind = "duplicate"
+	strayForeign   strayKind = "foreign"
+	strayCancelled strayKind = "cancelled"
 )
 
-func (m *Metrics) stray(why strayKind) {
-	m.strays.WithLabelValues(string(why)).Inc()
+func (m *Metrics) countStray(kind strayKind) {
+	m.strayReplies.WithLabelValues(string(kind)).Inc()
 }
 
-// finished adds a query's counts.
-func (m *Metrics) finished(o *Outcome) {
-	for c, n := range o.Tally.Sent {
+// countQuery adds the counts of a finished query.
+func (m *Metrics) countQuery(o *Outcome) {
+	for c, n := range o.Stats.Sent {
 		add(m.requests, n, Cause(c).String())
 	}
-	for c, n := range o.Tally.Refused {
-		add(m.refused, n, Cause(c).String())
+	for c, n := range o.Stats.BudgetDenied {
+		add(m.budgetDenied, n, Cause(c).String())
 	}
-	for k, n := range o.Tally.After {
-		add(m.after, n, k.Cause.String(), label(k.Result))
+	for k, n := range o.Stats.Resends {
+		add(m.resends, n, k.Cause.String(), resultLabel(k.Result))
 	}
-	add(m.discarded, o.Tally.WrongSnapshot, "wrong_snapshot")
-	add(m.discarded, o.Tally.Malformed, "malformed")
+	add(m.discarded, o.Stats.WrongSnapshot, "wrong_snapshot")
+	add(m.discarded, o.Stats.Malformed, "malformed")
 	for i := range o.Restarts {
 		add(m.discarded, o.Restarts[i].Discarded, "retired")
 	}
--- a/internal/query/once_test.go
+++ b/internal/query/non_idempotent_test.go
@@ -23,10 +23,10 @@
 	os.Exit(m.Run())
 }
 
-// anyReplica gives the replicas in turn and every budget asked for.
-type anyReplica struct{}
+// permissiveFleet picks the replicas in turn and allows every hedge and retry.
+type permissiveFleet struct{}
 
-func (anyReplica) Replica(_ time.Time, w Want) int {
+func (permissiveFleet) Replica(_ time.Time, w Want) int {
 	for i := range w.Shard.Replicas {
 		if w.Tried&(1<<i) == 0 {
 			return i
@@ -34,21 +34,21 @@
 	}
 	return NoReplica
 }
-func (anyReplica) Opened(time.Time, *contract.Upstream) {}
-func (anyReplica) Observe(time.Time, Observation)       {}
-func (anyReplica) Earn(*contract.Kind, int)             {}
-func (anyReplica) Spend(*contract.Kind, Cause) bool     { return true }
-func (anyReplica) Repin(time.Time, *contract.Service, *pb.Snapshot) (*contract.ShardMap, *pb.Snapshot, bool) {
-	m := payment(time.Time{}).Map
+func (permissiveFleet) Opened(time.Time, *contract.Upstream) {}
+func (permissiveFleet) Observe(time.Time, Observation)       {}
+func (permissiveFleet) Earn(*contract.Kind, int)             {}
+func (permissiveFleet) Spend(*contract.Kind, Cause) bool     { return true }
+func (permissiveFleet) Repin(time.Time, *contract.Service, *pb.Snapshot) (*contract.ShardMap, *pb.Snapshot, bool) {
+	m := nonIdempotentPlan(time.Time{}).Map
 	return m, &pb.Snapshot{Generation: 1, Version: 2}, true
 }
-func (anyReplica) HedgeDelay(time.Time, *contract.Kind, *contract.Shard, int) (time.Duration, bool) {
+func (permissiveFleet) HedgeDelay(time.Time, *contract.Kind, *contract.Shard, int) (time.Duration, bool) {
 	return time.Millisecond, true
 }
 
-// payment is a plan that may run once, at one shard with four replicas. It asks
-// for hedges and retries, which it must not get.
-func payment(start time.Time) *Plan {
+// nonIdempotentPlan is a plan for one shard with four replicas whose request may run
+// only once. Its kind allows hedges and retries, which the query must not send.
+func nonIdempotentPlan(start time.Time) *Plan {
 	shard := &contract.Shard{Documents: 1}
 	for range 4 {
 		shard.Replicas = append(shard.Replicas, &contract.Upstream{})
@@ -62,16 +62,17 @@
 	}
 }
 
-// proofs are the results that say "not run"; kept apart from the code's own list.
-var proofs = map[pb.Result]bool{
+// provenNotRun lists the results that prove that a sub-request did not run. It is kept
+// apart from the list in provesNotRun, to check that one.
+var provenNotRun = map[pb.Result]bool{
 	pb.Result_SHED: true, pb.Result_NOT_OWNER: true, pb.Result_NO_SNAPSHOT: true,
 	pb.Result_QUEUE_FULL: true, pb.Result_TOO_LATE: true, pb.Result_CANCELLED: true,
 	pb.Result_UPSTREAM_LEAVING: true, pb.Result_UNREACHABLE: true, pb.Result_VM_STOPPING: true,
 	pb.Result_OWNER_UNREACHABLE: true,
 }
 
-// caller follows one query and what each of its attempts came to.
-type caller struct {
+// queryTracker follows one query and the results of its attempts.
+type queryTracker struct {
 	query   *Query
 	results map[AttemptID]pb.Result
 	open    map[AttemptID]bool
@@ -79,12 +80,12 @@
 	outcome *Outcome
 }
 
-func (c *caller) take(t *rapid.T, actions []Action) {
+func (c *queryTracker) take(t *rapid.T, actions []Action) {
 	for _, a := range actions {
 		switch a.Op {
 		case OpSend:
 			for id := range c.results {
-				if c.open[id] || !proofs[c.results[id]] {
+				if c.open[id] || !provenNotRun[c.results[id]] {
 					t.Fatalf("attempt %v sent while %v is unproven (%s)", a.Attempt, id, c.results[id])
 				}
 			}
@@ -98,25 +99,25 @@
 	}
 }
 
-func (c *caller) check(t *rapid.T) {
+func (c *queryTracker) check(t *rapid.T) {
 	if c.outcome == nil || c.outcome.Ran || c.outcome.Unsure {
 		return
 	}
 	for id, r := range c.results {
-		if c.open[id] || !proofs[r] {
+		if c.open[id] || !provenNotRun[r] {
 			t.Fatalf("not run, but attempt %v is open or ended as %s", id, r)
 		}
 	}
 }
 
-// Symptom: a payment is made twice, or "not run" is said of one that was made.
-// Sequence: answers, refusals, silence and results of a newer daemon come in any
-// order, before and after the deadline.
-// Cause: another attempt, or a claim, that rests on anything but proof.
-func TestOneAttemptButOnProof(t *testing.T) {
+// Guards against running a non-idempotent request twice, and against reporting "not
+// run" for one that ran: answers, refusals, silence and results of a newer daemon
+// arrive in any order, before and after the deadline. A further attempt or a "not run"
+// needs proof for every attempt before it.
+func TestResendsOnlyAfterProofOfNotRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		c := &caller{query: New(payment(now), anyReplica{}), results: map[AttemptID]pb.Result{}, open: map[AttemptID]bool{}}
+		c := &queryTracker{query: New(nonIdempotentPlan(now), permissiveFleet{}), results: map[AttemptID]pb.Result{}, open: map[AttemptID]bool{}}
 		c.take(t, c.query.Start(now))
 		for c.outcome == nil {
 			now = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(t, "ms")) * time.Millisecond)
@@ -126,7 +127,7 @@
 	})
 }
 
-func (c *caller) step(t *rapid.T, now time.Time) {
+func (c *queryTracker) step(t *rapid.T, now time.Time) {
 	var open []AttemptID
 	for id := range c.open {
 		if c.open[id] {
@@ -147,7 +148,7 @@
 		c.take(t, c.query.Wake(now))
 		return
 	}
-	// 99 stands for a result that this daemon does not know.
+	// 99 is a result that this version does not know.
 	r := pb.Result(rapid.SampledFrom([]int32{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 99}).Draw(t, "result"))
 	snapshot := &pb.Snapshot{Generation: 1, Version: rapid.Uint64Range(1, 2).Draw(t, "version")}
 	c.results[open[0]] = r
@@ -155,39 +156,37 @@
 	c.take(t, c.query.Reply(now, open[0], &pb.SubReply{Result: r, Snapshot: snapshot}))
 }
 
-// Symptom: a caller is told "unknown" of a payment that waited in an owner's queue
-// all the time.
-// Sequence: the deadline passes; the owner is asked to take the request back and
-// confirms it.
-// Cause: a query that ends at its deadline without waiting for the owner's word.
-func TestOwnersWordAfterTheDeadline(t *testing.T) {
+// Guards against an unknown outcome for a request that never left an owner's queue: at
+// the deadline the owner is asked to cancel it and confirms. The query must wait for
+// that reply before it ends.
+func TestConfirmedCancelAfterDeadline(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		word        pb.Result
+		reply       pb.Result
 		ran, unsure bool
 	}{
-		{"taken back", pb.Result_CANCELLED, false, false},
+		{"cancelled by the owner", pb.Result_CANCELLED, false, false},
 		{"expired in the queue", pb.Result_TOO_LATE, false, false},
-		{"it had left", pb.Result_UNKNOWN, false, true},
-		{"it had been answered", pb.Result_OK, true, false},
+		{"already sent", pb.Result_UNKNOWN, false, true},
+		{"already answered", pb.Result_OK, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			start := time.Unix(1000, 0)
-			plan := payment(start)
-			q := New(plan, anyReplica{})
+			plan := nonIdempotentPlan(start)
+			q := New(plan, permissiveFleet{})
 			q.Start(start)
 			actions := q.Wake(plan.Deadline)
 			if len(actions) != 1 {
-				t.Fatalf("%d actions at the deadline, want one Withdraw", len(actions))
+				t.Fatalf("%d actions at the deadline, want one OpConfirmCancel", len(actions))
 			}
 			w := actions[0]
-			if w.Op != OpWithdraw {
-				t.Fatalf("operation %d, want OpWithdraw", w.Op)
+			if w.Op != OpConfirmCancel {
+				t.Fatalf("operation %d, want OpConfirmCancel", w.Op)
 			}
 			if !q.Next().Equal(plan.ConfirmBy) {
 				t.Fatalf("waits until %v, want %v", q.Next(), plan.ConfirmBy)
 			}
-			actions = q.Reply(plan.Deadline.Add(time.Millisecond), w.Attempt, &pb.SubReply{Result: c.word, Snapshot: plan.Snapshot})
+			actions = q.Reply(plan.Deadline.Add(time.Millisecond), w.Attempt, &pb.SubReply{Result: c.reply, Snapshot: plan.Snapshot})
 			if last := actions[len(actions)-1]; last.Op == OpDecode {
 				actions = q.Decoded(plan.Deadline.Add(time.Millisecond), last.Attempt, nil, nil)
 			}
@@ -197,14 +196,14 @@
 			}
 		})
 	}
-	t.Run("no word", func(t *testing.T) {
-		plan := payment(time.Unix(1000, 0))
-		q := New(plan, anyReplica{})
+	t.Run("no confirmation", func(t *testing.T) {
+		plan := nonIdempotentPlan(time.Unix(1000, 0))
+		q := New(plan, permissiveFleet{})
 		q.Start(time.Unix(1000, 0))
 		q.Wake(plan.Deadline)
 		actions := q.Wake(plan.ConfirmBy)
 		if out := actions[len(actions)-1].Outcome; !out.Unsure {
-			t.Fatal("an open attempt was taken for one that did not run")
+			t.Fatal("the outcome reports an open attempt as not run")
 		}
 	})
 }
--- a/internal/query/plan.go
+++ b/internal/query/plan.go
@@ -1,8 +1,8 @@
-// Package query decides how one caller's request becomes sub-requests and an
-// answer: what to send where, when to send again, when to stop waiting, and
-// what the answer covers. Query is a pure state machine; Engine drives it.
+// Package query turns one caller's request into sub-requests and an answer. It decides
+// which replicas to ask, when to retry, hedge or restart, when to stop waiting, and
+// what the answer covers. Query is a state machine without I/O; Engine drives it.
 //
-// Lock order: loop.mu and running.mu are leaves, never held together.
+// Lock order: loop.mu and runningQuery.mu are leaf locks and are never held together.
 package query
 
 import (
@@ -15,53 +15,54 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// Plan is what a query is to do, fixed before anything is sent.
+// Plan describes a query. It does not change after the query starts.
 type Plan struct {
 	Kind      *contract.Kind
 	RequestID string
 	Body      []byte
-	// Key chooses the shard of a kind that asks a single one.
+	// Key selects the shard for a kind that queries a single shard.
 	Key string
-	// Map and Snapshot are pinned: every sub-request carries the snapshot and a
-	// reply of another one is discarded.
+	// Map and Snapshot are pinned: every sub-request carries the snapshot, and replies
+	// from another one are discarded.
 	Map      *contract.ShardMap
 	Snapshot *pb.Snapshot
-	// Deadline is when the caller's answer is due; SoftDeadline, when set, is
-	// when an answer at the coverage floor is given.
+	// Deadline is when the answer is due. SoftDeadline, if set, is when the query may
+	// end early, provided that the answer reaches the coverage floor.
 	Deadline     time.Time
 	SoftDeadline time.Time
-	// ConfirmBy, when set, is after Deadline: until then the owners are asked to
-	// take back what is still open, and their word is waited for. It is for
-	// non-idempotent kinds, where "it never left the queue" is worth more than
-	// the time.
+	// ConfirmBy, if set, is later than Deadline. Between the two, owners are asked to
+	// cancel the open sub-requests and the query waits for their confirmations. It
+	// serves non-idempotent kinds, for which proof that a request never left the queue
+	// is worth the extra time.
 	ConfirmBy time.Time
-	// Trial says that upstreams have ended under the same request before: one is asked
-	// alone, and others once it has survived it.
+	// Trial isolates the query from the start, because upstreams have ended while they
+	// had the same request: one upstream is asked alone, and the others once it has
+	// survived.
 	Trial bool
-	// Witness takes in what upstreams show of the request itself; nil for nobody.
+	// Witness records how upstreams fare with this request. It may be nil.
 	Witness Witness
 }
 
-// Witness learns what becomes of upstreams under a request. It is called from the worker
-// of the query and must not block.
+// Witness records which upstreams end and which survive while they handle a request. It
+// is called from the worker of the query and must not block.
 type Witness interface {
-	// Ended tells of an upstream that ended while it had the request.
+	// Ended records that an upstream ended while it had the request.
 	Ended(u *contract.Upstream, sentAt, endedAt time.Time)
-	// Survived tells that an upstream has run the request and lives.
+	// Survived records that an upstream has run the request and is still alive.
 	Survived(now time.Time)
-	// Blocked tells whether the request is to be sent to no upstream any more.
+	// Blocked reports whether the request must no longer be sent to any upstream.
 	Blocked(now time.Time) bool
 }
 
-// nobody learns nothing.
-type nobody struct{}
+// nopWitness is a Witness that records nothing.
+type nopWitness struct{}
 
-func (nobody) Ended(*contract.Upstream, time.Time, time.Time) {}
-func (nobody) Survived(time.Time)                             {}
-func (nobody) Blocked(time.Time) bool                         { return false }
+func (nopWitness) Ended(*contract.Upstream, time.Time, time.Time) {}
+func (nopWitness) Survived(time.Time)                             {}
+func (nopWitness) Blocked(time.Time) bool                         { return false }
 
-// shardsOf is the shards of a map that the plan asks.
-func (p *Plan) shardsOf(m *contract.ShardMap) []*contract.Shard {
+// shardsIn returns the shards of a map that the plan queries.
+func (p *Plan) shardsIn(m *contract.ShardMap) []*contract.Shard {
 	if p.Kind.Merge != pb.Merge_SINGLE {
 		return m.Shards
 	}
@@ -69,69 +70,72 @@
 	return m.Shards[i : i+1]
 }
 
-// Fleet is what a query may read of the world. Its methods are quick and have
-// no effect that a query waits for.
+// Fleet provides replica selection, latency statistics and budgets to a query. Its
+// methods must return quickly and must not block.
 type Fleet interface {
-	// Replica is the index of the best replica for a sub-request, NoReplica when
-	// there is none.
+	// Replica returns the index of the best replica for a sub-request, or NoReplica.
 	Replica(now time.Time, w Want) int
-	// Opened notes that a sub-request goes to an upstream.
+	// Opened records that a sub-request is sent to an upstream.
 	Opened(now time.Time, u *contract.Upstream)
-	// HedgeDelay is how long to wait for a replica of the shard before asking
-	// another; sure is false when nothing is known and it is a guess.
-	HedgeDelay(now time.Time, k *contract.Kind, shard *contract.Shard, replica int) (delay time.Duration, sure bool)
-	// Observe learns from the end of an attempt.
+	// HedgeDelay returns how long to wait for a replica of the shard before a hedge. If
+	// known is false, no latencies are known and the delay is a guess.
+	HedgeDelay(now time.Time, k *contract.Kind, shard *contract.Shard, replica int) (delay time.Duration, known bool)
+	// Observe records the end of an attempt.
 	Observe(now time.Time, o Observation)
-	// Earn adds what n first sub-requests allow to the kind's budgets.
+	// Earn credits the kind's hedge and retry budgets for n first sub-requests.
 	Earn(k *contract.Kind, n int)
-	// Spend takes one extra sub-request from the kind's budget for the cause.
+	// Spend takes one extra sub-request from the kind's budget for the cause. It
+	// returns false if the budget is used up.
 	Spend(k *contract.Kind, cause Cause) bool
-	// Repin chooses a snapshot other than the one that has retired.
+	// Repin returns a shard map and snapshot to use in place of a retired one, or false
+	// if there is none.
 	Repin(now time.Time, s *contract.Service, retired *pb.Snapshot) (*contract.ShardMap, *pb.Snapshot, bool)
 }
 
-// NoReplica says that no replica can take a sub-request.
+// NoReplica is the index that Fleet.Replica returns if no replica can take a
+// sub-request.
 const NoReplica = -1
 
-// Want is a sub-request in search of a replica.
+// Want describes a sub-request that needs a replica.
 type Want struct {
 	Shard    *contract.Shard
 	Snapshot *pb.Snapshot
-	// Tried has bit i set when replica i was asked before.
+	// Bit i of Tried is set when replica i has already been asked.
 	Tried uint64
-	// Explore allows a replica of which nothing was heard for a while. It is
-	// for sub-requests that a hedge can save.
+	// Explore allows choosing a replica without recent observations. It is set for
+	// sub-requests that can be hedged if that replica turns out slow.
 	Explore bool
 }
 
-// Observation is the end of one attempt.
+// Observation describes the end of one attempt.
 type Observation struct {
 	Upstream *contract.Upstream
-	// Snapshot is the one that was asked for.
+	// Snapshot is the one that was requested.
 	Snapshot *pb.Snapshot
-	// Took is the time since it was sent.
+	// Took is the time since the send.
 	Took time.Duration
-	// Reply is nil when the attempt was withdrawn: Took is then a lower bound.
+	// Reply is nil if the attempt was cancelled; Took is then a lower bound of the
+	// latency.
 	Reply *pb.SubReply
 }
 
-// Cause is why a sub-request is sent.
+// Cause is the reason for sending a sub-request.
 type Cause int
 
-// Causes of sends. Hedges, retries and restarts are extra load upstream; a
-// redirect follows a refusal that did not run and so is none.
+// Causes of sends. Hedges, retries and restarts are extra load on upstreams. A redirect
+// follows a refusal that did not run, so it is not extra load.
 const (
 	First Cause = iota
 	Hedge
 	Retry
 	Redirect
 	Restart
-	causes
+	numCauses
 )
 
-var causeNames = [causes]string{"first", "hedge", "retry", "redirect", "restart"}
+var causeNames = [numCauses]string{"first", "hedge", "retry", "redirect", "restart"}
 
-// String is the cause's name in metrics and explain.
+// String returns the cause's name in metrics and explain output.
 func (c Cause) String() string { return causeNames[c] }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -148,50 +152,52 @@
 	return trace.BadParameter("cause %q is unknown", text)
 }
 
-// Extra tells whether sends of this cause are extra load upstream.
+// Extra reports whether sends with this cause are extra load on upstreams.
 func (c Cause) Extra() bool { return c == Hedge || c == Retry || c == Restart }
 
-// Op is what an action asks for.
+// Op is the kind of an Action.
 type Op int
 
-// Operations of a driver.
+// Operations that a query requests from its driver.
 const (
-	// OpSend asks for one sub-request.
+	// OpSend sends a sub-request.
 	OpSend Op = iota
-	// OpCancel withdraws an attempt whose answer is no longer wanted.
+	// OpCancel cancels an attempt whose reply is no longer awaited.
 	OpCancel
-	// OpWithdraw asks the owner to take an attempt back and goes on waiting for
-	// its word: that it did not run, or what came of it.
-	OpWithdraw
-	// OpDecode asks for an answer's body to be decoded.
+	// OpConfirmCancel asks the owner to cancel an attempt and keeps waiting for its
+	// reply, which either confirms that the sub-request did not run or carries its
+	// result.
+	OpConfirmCancel
+	// OpDecode decodes the body of an answer and passes the hits to Query.Decoded.
 	OpDecode
-	// OpFinish ends the query.
+	// OpFinish ends the query with an outcome.
 	OpFinish
 )
 
-// Action is one thing the driver must do.
+// Action is one operation that the driver must carry out.
 type Action struct {
 	Op       Op
 	Attempt  AttemptID
 	Upstream *contract.Upstream
-	// Shard, Snapshot, Cause and Standby belong to a send. Standby goes through
-	// the standby VM of the upstream in place of its owner.
+	// Shard, Snapshot, Cause and Standby are set for OpSend. Standby routes the
+	// sub-request through the upstream's standby VM in place of its owner.
 	Shard    *contract.Shard
 	Snapshot *pb.Snapshot
 	Cause    Cause
 	Standby  bool
-	// Wire and VM belong to a cancel or a withdrawal: where Sent said the attempt went.
-	Wire uint64
-	VM   string
-	// Body belongs to a decode.
+	// WireID and VM are set for OpCancel and OpConfirmCancel. They are the values
+	// passed to Query.Sent.
+	WireID uint64
+	VM     string
+	// Body is set for OpDecode.
 	Body []byte
-	// Outcome belongs to a finish.
+	// Outcome is set for OpFinish.
 	Outcome *Outcome
 }
 
-// AttemptID names an attempt within its query.
+// AttemptID identifies an attempt within its query.
 type AttemptID struct {
-	// Round is the number of restarts before it.
+	// Round is the number of restarts before the attempt.
 	Round int
 	Shard int
 	Try   int
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -8,11 +8,13 @@
 	"sycamorekeel.example/sycamorekeel/internal/quarantine"
 )
 
-// maxAttempts bounds the sends of one shard's sub-request, refusals included:
-// enough for each of three replicas to refuse and be asked once more.
+// maxAttempts limits the sends for one shard, including those that are refused. Six
+// lets each of three replicas refuse and be asked a second time.
 const maxAttempts = 6
 
-// Query is one request under way. It is not safe for concurrent use.
+// Query is the state machine of one request. Its methods take events and return the
+// actions that the driver must carry out; the returned slice is valid until the next
+// call. A Query is not safe for concurrent use.
 type Query struct {
 	plan     *Plan
 	fleet    Fleet
@@ -20,40 +22,43 @@
 	snapshot *pb.Snapshot
 	targets  []*contract.Shard
 	shards   []shardState
-	alarms   alarms
-	// open is the shards that are neither answered nor given up.
-	open     int
-	covered  uint64
-	total    uint64
-	ran      bool
-	unsure   bool
-	timedOut bool
-	// confirming says that the owners were asked to take back what is open.
+	timers   shardTimers
+	// openShards counts the shards that have neither an answer nor a reason to be
+	// missing.
+	openShards       int
+	coveredDocuments uint64
+	totalDocuments   uint64
+	ran              bool
+	mayHaveRun       bool
+	timedOut         bool
+	// confirming is set between Deadline and ConfirmBy, while owners are asked to
+	// confirm the cancellation of open attempts.
 	confirming bool
 	ended      bool
-	// softPassed says that Wake has acted on the soft deadline: from then on
+	// softDeadlinePassed is set once Wake runs after the soft deadline. From then on
 	// each reply may end the query.
-	softPassed bool
-	restarts   []RestartRecord
-	tally      Tally
-	isolation  quarantine.Isolation
-	witness    Witness
-	actions    []Action
-	// memory is what the slices above were cut from.
-	memory *memory
-}
-
-// memory is the slices of one query, kept for the next one on the same worker:
-// at hundreds of shards a query they are most of what it allocates.
-type memory struct {
+	softDeadlinePassed bool
+	restarts           []RestartRecord
+	stats              Stats
+	isolation          quarantine.Isolation
+	witness            Witness
+	actions            []Action
+	// buffers is the backing memory of shards, timers and actions.
+	buffers *buffers
+}
+
+// buffers holds the slices of one query for reuse by the next query on the same worker.
+// For queries of hundreds of shards they are most of the memory allocated.
+type buffers struct {
 	shards   []shardState
 	attempts []attempt
-	alarms   alarms
+	timers   shardTimers
 	actions  []Action
 }
 
-// cut gives n zeroed elements of a slice that is kept, growing it as needed.
-func cut[T any](kept *[]T, n int) []T {
+// zeroed returns a slice of n zeroed elements backed by *kept, which it grows as
+// needed.
+func zeroed[T any](kept *[]T, n int) []T {
 	if cap(*kept) < n {
 		*kept = make([]T, n)
 	}
@@ -62,41 +67,45 @@
 	return out
 }
 
-// shardState is one shard of the query.
+// shardState is the state of one shard of the query.
 type shardState struct {
 	attempts []attempt
 	hits     []Hit
 	missing  Missing
 	closed   bool
-	// decoding is the answers being decoded; no hedge is sent meanwhile.
+	// decoding counts the answers that are being decoded. No hedge is sent while it is
+	// positive.
 	decoding int
-	// lacking says that a replica did not have the pinned snapshot.
-	lacking bool
-	// passing says that a replica failed for a reason that may be gone soon.
-	passing bool
-	// downWaited says that an upstream that was down was waited for.
-	downWaited bool
-	// turn is when the shard is to be looked at, 0 for never: to send a hedge,
-	// or, when again is set, to try anew after a pause.
-	turn  time.Duration
-	again *next
-	// guessed says that turn rests on nothing known.
-	guessed bool
-	// tried has bit i set when replica i was asked, standby when it was asked
-	// through its standby VM.
-	tried   uint64
-	standby uint64
-}
-
-// next is an attempt to come.
-type next struct {
+	// snapshotMissing is set when a replica does not have the pinned snapshot.
+	snapshotMissing bool
+	// transientFailure is set when a replica fails for a reason that may be gone after
+	// a pause.
+	transientFailure bool
+	// waitedForReconnect is set once the shard has paused for an unreachable upstream.
+	waitedForReconnect bool
+	// timerAt is the time since the start of the query at which the shard's timer
+	// fires, 0 for no timer. The timer sends pendingAttempt when that is set, and a
+	// hedge otherwise.
+	timerAt        time.Duration
+	pendingAttempt *nextAttempt
+	// hedgeDelayEstimated is set when the hedge delay of timerAt is a guess, not based
+	// on latencies.
+	hedgeDelayEstimated bool
+	// Bit i of tried is set when replica i has been asked, bit i of triedViaStandby
+	// when it has been asked through its standby VM.
+	tried           uint64
+	triedViaStandby uint64
+}
+
+// nextAttempt describes an attempt that is not yet sent.
+type nextAttempt struct {
 	cause Cause
 	// after is the result that a retry or redirect follows.
 	after pb.Result
-	// why the shard is missing when the attempt can't be made.
-	why Missing
-	// paid and refused say what its budget said, if it was asked.
-	paid, refused bool
+	// missing is why the shard is missing if the attempt cannot be sent.
+	missing Missing
+	// budgetTaken and budgetDenied record the answer of the budget, if it was asked.
+	budgetTaken, budgetDenied bool
 }
 
 type attempt struct {
@@ -104,108 +113,108 @@
 	upstream *contract.Upstream
 	cause    Cause
 	// after is the result that a retry or redirect follows.
-	after   pb.Result
-	standby bool
-	sentAt  time.Duration
-	took    time.Duration
-	result  pb.Result
-	detail  string
-	verdict verdict
-	open    bool
-	// alone says that the query was isolated when it was sent.
-	alone bool
-	// wire and vm are where the driver sent it.
-	wire uint64
-	vm   string
-}
-
-// verdict is what became of a reply besides its result.
-type verdict uint8
+	after       pb.Result
+	standby     bool
+	sentAt      time.Duration
+	took        time.Duration
+	result      pb.Result
+	detail      string
+	disposition disposition
+	open        bool
+	// isolated is set when the query was isolated at the time of the send.
+	isolated bool
+	// wireID and vm are the sub-request id and the VM that the driver sent it to.
+	wireID uint64
+	vm     string
+}
+
+// disposition says whether the query accepted an answer, or why it did not.
+type disposition uint8
 
 const (
-	taken verdict = iota
+	accepted disposition = iota
 	wrongSnapshot
 	malformed
 )
 
-// New makes a query that has sent nothing.
+// New returns a query that has sent nothing. Start begins it.
 func New(plan *Plan, fleet Fleet) *Query {
 	q := &Query{plan: plan, fleet: fleet, isolation: quarantine.Isolation{Trial: plan.Trial}, witness: plan.Witness}
 	if q.witness == nil {
-		q.witness = nobody{}
+		q.witness = nopWitness{}
 	}
 	return q
 }
 
-// use gives the query slices to work in; release takes them back when it has
-// ended, after which only its late events may reach the query.
-func (q *Query) use(m *memory) { q.memory = m }
+// useBuffers gives the query memory to work in. releaseBuffers takes it back when the
+// query has ended; after that only late events may reach the query, which ignores them.
+func (q *Query) useBuffers(b *buffers) { q.buffers = b }
 
-func (q *Query) release() *memory {
-	m := q.memory
-	if m == nil {
+func (q *Query) releaseBuffers() *buffers {
+	b := q.buffers
+	if b == nil {
 		return nil
 	}
-	m.alarms = q.alarms[:0]
-	m.actions = q.actions[:0]
-	clear(m.shards)
-	clear(m.attempts)
-	clear(m.actions[:cap(m.actions)])
-	q.memory, q.shards, q.alarms, q.actions = nil, nil, nil, nil
-	return m
+	b.timers = q.timers[:0]
+	b.actions = q.actions[:0]
+	clear(b.shards)
+	clear(b.attempts)
+	clear(b.actions[:cap(b.actions)])
+	q.buffers, q.shards, q.timers, q.actions = nil, nil, nil, nil
+	return b
 }
 
-// pin sets the query up for a snapshot.
-func (q *Query) pin(m *contract.ShardMap, snapshot *pb.Snapshot) {
+// pinSnapshot resets the shards of the query for a shard map and snapshot.
+func (q *Query) pinSnapshot(m *contract.ShardMap, snapshot *pb.Snapshot) {
 	q.snapshot = snapshot
-	q.targets = q.plan.shardsOf(m)
-	q.shards = cut(&q.memory.shards, len(q.targets))
-	room := cut(&q.memory.attempts, len(q.targets))
+	q.targets = q.plan.shardsIn(m)
+	q.shards = zeroed(&q.buffers.shards, len(q.targets))
+	first := zeroed(&q.buffers.attempts, len(q.targets))
 	for i := range q.shards {
-		q.shards[i].attempts = room[i : i : i+1]
+		q.shards[i].attempts = first[i : i : i+1]
 	}
-	q.open = len(q.targets)
-	q.covered = 0
-	q.total = 0
+	q.openShards = len(q.targets)
+	q.coveredDocuments = 0
+	q.totalDocuments = 0
 	for _, s := range q.targets {
-		q.total += s.Documents
+		q.totalDocuments += s.Documents
 	}
-	q.alarms = q.alarms[:0]
+	q.timers = q.timers[:0]
 }
 
 // Start sends the first sub-request of every shard.
 func (q *Query) Start(now time.Time) []Action {
 	q.started = now
-	if q.memory == nil {
-		q.memory = &memory{}
+	if q.buffers == nil {
+		q.buffers = &buffers{}
 	}
-	q.alarms = q.memory.alarms
-	q.actions = q.memory.actions[:0]
-	q.pin(q.plan.Map, q.plan.Snapshot)
+	q.timers = q.buffers.timers
+	q.actions = q.buffers.actions[:0]
+	q.pinSnapshot(q.plan.Map, q.plan.Snapshot)
 	q.fleet.Earn(q.plan.Kind, len(q.shards))
 	q.scatter(now, First)
-	q.settle(now)
+	q.finishIfDone(now)
 	return q.actions
 }
 
 func (q *Query) scatter(now time.Time, cause Cause) {
 	for i := range q.shards {
-		if !q.send(now, i, &next{cause: cause}) {
-			q.giveUp(now, i, MissingNoReplica)
+		if !q.send(now, i, &nextAttempt{cause: cause}) {
+			q.failShard(now, i, MissingNoReplica)
 		}
 	}
 }
 
-// Sent tells where an attempt went: its id on the wire and its VM.
-func (q *Query) Sent(id AttemptID, wire uint64, vm string) {
+// Sent records the sub-request id and the VM of an attempt that the driver has sent.
+func (q *Query) Sent(id AttemptID, wireID uint64, vm string) {
 	a := q.attempt(id)
-	a.wire = wire
+	a.wireID = wireID
 	a.vm = vm
 }
 
-// Reply takes the end of one attempt in. It never looks at the deadline: after
-// a pause of the process the replies that came meanwhile are all taken in
-// before Wake lets the time pass.
+// Reply handles the end of one attempt. It does not check the deadline: after a pause
+// of the process, the driver passes in all replies that arrived meanwhile before it
+// calls Wake.
 func (q *Query) Reply(now time.Time, id AttemptID, r *pb.SubReply) []Action {
 	q.actions = q.actions[:0]
 	if q.ended || id.Round != len(q.restarts) {
@@ -218,18 +227,18 @@
 	a.open = false
 	a.result = r.Result
 	a.detail = r.Detail
-	a.took = q.since(now) - a.sentAt
-	q.note(r.Result)
-	q.noteIsolation(now, a, r)
+	a.took = q.elapsed(now) - a.sentAt
+	q.recordResult(r.Result)
+	q.recordForIsolation(now, a, r)
 	q.fleet.Observe(now, Observation{Upstream: a.upstream, Snapshot: q.snapshot, Took: a.took, Reply: r})
 	if !q.shards[id.Shard].closed {
-		q.judge(now, id, r)
+		q.handleResult(now, id, r)
 	}
-	q.settle(now)
+	q.finishIfDone(now)
 	return q.actions
 }
 
-// Decoded takes the hits of an answer in, or that it could not be read.
+// Decoded handles the decoded hits of an answer, or the error from decoding it.
 func (q *Query) Decoded(now time.Time, id AttemptID, hits []Hit, err error) []Action {
 	q.actions = q.actions[:0]
 	if q.ended || id.Round != len(q.restarts) || q.shards[id.Shard].closed {
@@ -238,54 +247,54 @@
 	sh := &q.shards[id.Shard]
 	sh.decoding--
 	if err != nil {
-		q.tally.Malformed++
-		q.attempt(id).verdict = malformed
-		q.again(now, id, next{cause: Retry, after: pb.Result_OK, why: MissingMalformed}, 0)
+		q.stats.Malformed++
+		q.attempt(id).disposition = malformed
+		q.retryOrFail(now, id, nextAttempt{cause: Retry, after: pb.Result_OK, missing: MissingMalformed}, 0)
 	} else {
 		sh.hits = hits
-		q.covered += q.targets[id.Shard].Documents
-		q.close(now, id.Shard)
-		q.replanHedges()
+		q.coveredDocuments += q.targets[id.Shard].Documents
+		q.closeShard(now, id.Shard)
+		q.rescheduleHedges()
 	}
-	q.settle(now)
+	q.finishIfDone(now)
 	return q.actions
 }
 
-// Wake lets time pass.
+// Wake fires the timers that are due and applies the deadlines.
 func (q *Query) Wake(now time.Time) []Action {
 	q.actions = q.actions[:0]
 	if q.ended {
 		return nil
 	}
 	if now.Before(q.plan.Deadline) {
-		q.turns(now)
+		q.fireDueTimers(now)
 	} else {
 		q.timedOut = true
-		q.deadline(now)
+		q.handleDeadline(now)
 	}
 	if soft := q.plan.SoftDeadline; !soft.IsZero() && !now.Before(soft) {
-		q.softPassed = true
+		q.softDeadlinePassed = true
 	}
-	q.settle(now)
+	q.finishIfDone(now)
 	return q.actions
 }
 
-// deadline gives up what is open. A query that has time to confirm first asks
-// the owners to take it back and waits for their word.
-func (q *Query) deadline(now time.Time) {
+// handleDeadline closes the open shards. If there is time until ConfirmBy, it first
+// asks the owners to cancel the open attempts and waits for their confirmations.
+func (q *Query) handleDeadline(now time.Time) {
 	q.confirming = now.Before(q.plan.ConfirmBy)
-	q.stopWaiting(now, MissingDeadline)
+	q.closeOpenShards(now, MissingDeadline)
 	if !q.confirming {
 		return
 	}
 	for i := range q.shards {
 		if !q.shards[i].closed {
-			q.takeBack(i)
+			q.requestConfirmedCancel(i)
 		}
 	}
 }
 
-func (q *Query) takeBack(shard int) {
+func (q *Query) requestConfirmedCancel(shard int) {
 	sh := &q.shards[shard]
 	for try := range sh.attempts {
 		a := &sh.attempts[try]
@@ -293,16 +302,17 @@
 			continue
 		}
 		q.actions = append(q.actions, Action{
-			Op:       OpWithdraw,
+			Op:       OpConfirmCancel,
 			Attempt:  AttemptID{Round: len(q.restarts), Shard: shard, Try: try},
 			Upstream: a.upstream,
-			Wire:     a.wire,
+			WireID:   a.wireID,
 			VM:       a.vm,
 		})
 	}
 }
 
-// Abandon ends the query without an answer: its caller has gone.
+// Abandon ends the query because its caller has gone. It returns the actions that
+// cancel the open attempts.
 func (q *Query) Abandon(now time.Time) []Action {
 	q.actions = q.actions[:0]
 	if !q.ended {
@@ -311,8 +321,8 @@
 	return q.actions
 }
 
-// Next is when Wake is to be called; the zero time when no time passes for the
-// query any more.
+// Next returns the time at which to call Wake, or the zero time if the query has no
+// timer left.
 func (q *Query) Next() time.Time {
 	switch {
 	case q.confirming:
@@ -321,64 +331,66 @@
 		return time.Time{}
 	}
 	at := q.plan.Deadline
-	if soft := q.plan.SoftDeadline; !soft.IsZero() && !q.softPassed && soft.Before(at) {
+	if soft := q.plan.SoftDeadline; !soft.IsZero() && !q.softDeadlinePassed && soft.Before(at) {
 		at = soft
 	}
-	if a, ok := q.nextAlarm(); ok {
-		if turn := q.started.Add(a.at); turn.Before(at) {
-			at = turn
+	if t, ok := q.nextTimer(); ok {
+		if fireAt := q.started.Add(t.at); fireAt.Before(at) {
+			at = fireAt
 		}
 	}
 	return at
 }
 
-// nextAlarm drops the alarms that were put off.
-func (q *Query) nextAlarm() (alarm, bool) {
-	for len(q.alarms) > 0 {
-		a := q.alarms[0]
-		if sh := &q.shards[a.shard]; !sh.closed && sh.turn == a.at {
-			return a, true
+// nextTimer returns the earliest valid timer. It drops timers of closed shards and
+// timers that have been replaced.
+func (q *Query) nextTimer() (shardTimer, bool) {
+	for len(q.timers) > 0 {
+		t := q.timers[0]
+		if sh := &q.shards[t.shard]; !sh.closed && sh.timerAt == t.at {
+			return t, true
 		}
-		q.alarms.pop()
+		q.timers.pop()
 	}
-	return alarm{}, false
+	return shardTimer{}, false
 }
 
-// turns looks at each shard whose turn has come.
-func (q *Query) turns(now time.Time) {
+// fireDueTimers fires the timer of each shard that is due, until a restart replaces the
+// shards.
+func (q *Query) fireDueTimers(now time.Time) {
 	round := len(q.restarts)
 	for {
-		a, ok := q.nextAlarm()
-		if !ok || a.at > q.since(now) || round != len(q.restarts) {
+		t, ok := q.nextTimer()
+		if !ok || t.at > q.elapsed(now) || round != len(q.restarts) {
 			return
 		}
-		q.alarms.pop()
-		q.shards[a.shard].turn = 0
-		q.turn(now, a.shard)
+		q.timers.pop()
+		q.shards[t.shard].timerAt = 0
+		q.fireTimer(now, t.shard)
 	}
 }
 
-func (q *Query) turn(now time.Time, shard int) {
+func (q *Query) fireTimer(now time.Time, shard int) {
 	sh := &q.shards[shard]
-	waiting := sh.again
-	sh.again = nil
+	pending := sh.pendingAttempt
+	sh.pendingAttempt = nil
 	switch {
-	case waiting == nil:
-		q.hedge(now, shard)
-	case !q.send(now, shard, waiting):
-		q.giveUp(now, shard, waiting.why)
+	case pending == nil:
+		q.sendHedge(now, shard)
+	case !q.send(now, shard, pending):
+		q.failShard(now, shard, pending.missing)
 	}
 }
 
-// wakeAt sets a shard's turn; 0 for none.
-func (q *Query) wakeAt(shard int, at time.Duration) {
-	q.shards[shard].turn = at
+// setTimer sets the timer of a shard; 0 clears it.
+func (q *Query) setTimer(shard int, at time.Duration) {
+	q.shards[shard].timerAt = at
 	if at > 0 {
-		q.alarms.push(alarm{at: at, shard: shard})
+		q.timers.push(shardTimer{at: at, shard: shard})
 	}
 }
 
-func (q *Query) since(now time.Time) time.Duration {
+func (q *Query) elapsed(now time.Time) time.Duration {
 	return now.Sub(q.started)
 }
 
@@ -386,17 +398,17 @@
 	return &q.shards[id.Shard].attempts[id.Try]
 }
 
-func (q *Query) note(r pb.Result) {
+func (q *Query) recordResult(r pb.Result) {
 	switch r {
 	case pb.Result_OK, pb.Result_UPSTREAM_ERROR:
 		q.ran = true
 	default:
-		q.unsure = q.unsure || !provesNotRun(r)
+		q.mayHaveRun = q.mayHaveRun || !provesNotRun(r)
 	}
 }
 
-// provesNotRun tells whether a result says that the sub-request ran nowhere. A
-// result that this daemon does not know, from a newer peer, proves nothing.
+// provesNotRun reports whether a result proves that the sub-request ran nowhere. An
+// unknown result, sent by a peer of a newer version, proves nothing.
 func provesNotRun(r pb.Result) bool {
 	switch r {
 	case pb.Result_SHED, pb.Result_NOT_OWNER, pb.Result_NO_SNAPSHOT, pb.Result_QUEUE_FULL,
@@ -408,129 +420,132 @@
 	}
 }
 
-// judge decides what a reply means for its shard.
-func (q *Query) judge(now time.Time, id AttemptID, r *pb.SubReply) {
+// handleResult chooses what to do with a shard after a reply: decode the answer, send
+// another attempt or fail the shard.
+func (q *Query) handleResult(now time.Time, id AttemptID, r *pb.SubReply) {
 	sh := &q.shards[id.Shard]
-	n := next{cause: Redirect, after: r.Result}
+	n := nextAttempt{cause: Redirect, after: r.Result}
 	switch r.Result {
 	case pb.Result_OK:
-		q.answered(now, id, r)
+		q.handleAnswer(now, id, r)
 		return
 	case pb.Result_UPSTREAM_ERROR:
-		n.cause, n.why = Retry, MissingFailed
+		n.cause, n.missing = Retry, MissingFailed
 	case pb.Result_NO_SNAPSHOT:
-		sh.lacking = true
-		n.why = MissingSnapshot
+		sh.snapshotMissing = true
+		n.missing = MissingSnapshot
 	case pb.Result_TOO_LATE:
-		n.why = MissingDeadline
+		n.missing = MissingDeadline
 	case pb.Result_UNREACHABLE, pb.Result_OWNER_UNREACHABLE, pb.Result_NOT_OWNER, pb.Result_VM_STOPPING, pb.Result_UPSTREAM_LEAVING:
-		n.why = MissingNoReplica
+		n.missing = MissingNoReplica
 	case pb.Result_SHED, pb.Result_QUEUE_FULL, pb.Result_CANCELLED:
-		n.why = MissingShed
+		n.missing = MissingShed
 	default:
-		n.cause, n.why = Retry, MissingUnknown
+		n.cause, n.missing = Retry, MissingUnknown
 	}
 	if q.timedOut && n.cause == Redirect {
-		n.why = MissingDeadline
+		n.missing = MissingDeadline
 	}
-	q.again(now, id, n, time.Duration(r.RetryAfterMs)*time.Millisecond)
+	q.retryOrFail(now, id, n, time.Duration(r.RetryAfterMs)*time.Millisecond)
 }
 
-// answered has a body decoded. A reply of another snapshot is discarded: were
-// it merged the answer would mix two states of the index.
-func (q *Query) answered(now time.Time, id AttemptID, r *pb.SubReply) {
+// handleAnswer requests that the body of an answer be decoded. It discards an answer
+// from another snapshot, because merging it would mix two states of the index.
+func (q *Query) handleAnswer(now time.Time, id AttemptID, r *pb.SubReply) {
 	sh := &q.shards[id.Shard]
 	if !sameSnapshot(r.Snapshot, q.snapshot) {
-		q.tally.WrongSnapshot++
-		q.attempt(id).verdict = wrongSnapshot
-		sh.lacking = true
-		q.again(now, id, next{cause: Retry, after: r.Result, why: MissingWrongIndex}, 0)
+		q.stats.WrongSnapshot++
+		q.attempt(id).disposition = wrongSnapshot
+		sh.snapshotMissing = true
+		q.retryOrFail(now, id, nextAttempt{cause: Retry, after: r.Result, missing: MissingWrongSnapshot}, 0)
 		return
 	}
 	sh.decoding++
 	q.actions = append(q.actions, Action{Op: OpDecode, Attempt: id, Body: r.Body})
 }
 
-// giveUp ends a shard without an answer, unless the whole query can start again
-// at a snapshot that still serves.
-func (q *Query) giveUp(now time.Time, shard int, why Missing) {
+// failShard closes a shard without an answer. If a replica lacked the pinned snapshot,
+// it first tries to restart the whole query at another one.
+func (q *Query) failShard(now time.Time, shard int, reason Missing) {
 	sh := &q.shards[shard]
 	if sh.closed {
 		return
 	}
-	if sh.lacking && q.restart(now, shard) {
+	if sh.snapshotMissing && q.restart(now, shard) {
 		return
 	}
-	sh.missing = why
-	q.close(now, shard)
+	sh.missing = reason
+	q.closeShard(now, shard)
 }
 
-// close ends a shard and withdraws its open attempts.
-func (q *Query) close(now time.Time, shard int) {
+// closeShard ends the work on a shard and cancels its open attempts.
+func (q *Query) closeShard(now time.Time, shard int) {
 	sh := &q.shards[shard]
 	sh.closed = true
-	sh.turn = 0
-	sh.again = nil
-	q.open--
-	q.withdraw(now, shard)
+	sh.timerAt = 0
+	sh.pendingAttempt = nil
+	q.openShards--
+	q.cancelOpenAttempts(now, shard)
 }
 
-func (q *Query) withdraw(now time.Time, shard int) {
+func (q *Query) cancelOpenAttempts(now time.Time, shard int) {
 	sh := &q.shards[shard]
 	for try := range sh.attempts {
 		a := &sh.attempts[try]
 		if !a.open {
 			continue
 		}
-		a.took = q.since(now) - a.sentAt
+		a.took = q.elapsed(now) - a.sentAt
 		q.fleet.Observe(now, Observation{Upstream: a.upstream, Snapshot: q.snapshot, Took: a.took})
 		q.actions = append(q.actions, Action{
 			Op:       OpCancel,
 			Attempt:  AttemptID{Round: len(q.restarts), Shard: shard, Try: try},
 			Upstream: a.upstream,
-			Wire:     a.wire,
+			WireID:   a.wireID,
 			VM:       a.vm,
 		})
 	}
 }
 
-// settle ends the query when nothing is open, or an early answer is good enough.
-func (q *Query) settle(now time.Time) {
+// finishIfDone ends the query when no shard is open, or when the soft deadline has
+// passed and the coverage floor is reached.
+func (q *Query) finishIfDone(now time.Time) {
 	if q.ended {
 		return
 	}
-	if q.open > 0 && q.softPassed && q.floorReached() {
-		q.stopWaiting(now, MissingSoft)
+	if q.openShards > 0 && q.softDeadlinePassed && q.coverageFloorReached() {
+		q.closeOpenShards(now, MissingSoftDeadline)
 	}
-	if q.open == 0 {
+	if q.openShards == 0 {
 		q.finish(now, MissingDeadline)
 	}
 }
 
-func (q *Query) floorReached() bool {
-	return float64(q.covered) >= q.plan.Kind.CoverageFloor*float64(q.total)
+func (q *Query) coverageFloorReached() bool {
+	return float64(q.coveredDocuments) >= q.plan.Kind.CoverageFloor*float64(q.totalDocuments)
 }
 
-// stopWaiting gives up every shard but those whose answer is here and is being
-// decoded: that takes no time of anybody else.
-func (q *Query) stopWaiting(now time.Time, why Missing) {
+// closeOpenShards closes every shard with the given reason, except shards with an
+// answer being decoded, which needs no further waiting for an upstream. While
+// cancellations are being confirmed it also keeps shards with open attempts.
+func (q *Query) closeOpenShards(now time.Time, reason Missing) {
 	for i := range q.shards {
 		sh := &q.shards[i]
-		if sh.closed || sh.decoding > 0 || (q.confirming && sh.anyOpen()) {
+		if sh.closed || sh.decoding > 0 || (q.confirming && sh.hasOpenAttempt()) {
 			continue
 		}
-		sh.missing = why
-		q.unsure = q.unsure || sh.anyOpen()
-		q.close(now, i)
+		sh.missing = reason
+		q.mayHaveRun = q.mayHaveRun || sh.hasOpenAttempt()
+		q.closeShard(now, i)
 	}
 }
 
-func (q *Query) finish(now time.Time, why Missing) {
+func (q *Query) finish(now time.Time, reason Missing) {
 	for i := range q.shards {
 		if sh := &q.shards[i]; !sh.closed {
-			sh.missing = why
-			q.unsure = q.unsure || sh.anyOpen()
-			q.close(now, i)
+			sh.missing = reason
+			q.mayHaveRun = q.mayHaveRun || sh.hasOpenAttempt()
+			q.closeShard(now, i)
 		}
 	}
 	q.ended = true
@@ -541,44 +556,44 @@
 func (q *Query) outcome() *Outcome {
 	out := &Outcome{
 		Snapshot: q.snapshot,
-		Covered:  q.covered,
-		Total:    q.total,
+		Covered:  q.coveredDocuments,
+		Total:    q.totalDocuments,
 		Ran:      q.ran,
-		Unsure:   q.unsure,
+		Unsure:   q.mayHaveRun,
 		Restarts: q.restarts,
-		Tally:    q.tally,
+		Stats:    q.stats,
 		Shards:   make([]ShardOutcome, len(q.shards)),
 	}
-	room := make([]AttemptRecord, 0, len(q.shards))
+	records := make([]AttemptRecord, 0, len(q.shards))
 	for i := range q.shards {
 		sh := &q.shards[i]
-		from := len(room)
-		room = sh.record(room)
+		from := len(records)
+		records = sh.appendRecords(records)
 		out.TimedOut = out.TimedOut || (q.timedOut && sh.missing == MissingDeadline)
-		out.Shards[i] = ShardOutcome{Shard: q.targets[i], Hits: sh.hits, Missing: sh.missing, Attempts: room[from:len(room):len(room)]}
+		out.Shards[i] = ShardOutcome{Shard: q.targets[i], Hits: sh.hits, Missing: sh.missing, Attempts: records[from:len(records):len(records)]}
 	}
 	return out
 }
 
-func (s *shardState) record(to []AttemptRecord) []AttemptRecord {
+func (s *shardState) appendRecords(to []AttemptRecord) []AttemptRecord {
 	for i := range s.attempts {
 		a := &s.attempts[i]
 		to = append(to, AttemptRecord{
 			Upstream: a.upstream.ID,
 			Cause:    a.cause,
-			Why:      s.why(i),
+			Why:      s.reasonSent(i),
 			Standby:  a.standby,
 			Sent:     a.sentAt,
 			Took:     a.took,
-			Result:   a.label(),
+			Result:   a.resultLabel(),
 			Detail:   a.detail,
 		})
 	}
 	return to
 }
 
-// why explains an attempt.
-func (s *shardState) why(i int) string {
+// reasonSent explains, for the explain output, why attempt i was sent.
+func (s *shardState) reasonSent(i int) string {
 	a := &s.attempts[i]
 	switch a.cause {
 	case First:
@@ -588,24 +603,24 @@
 	case Restart:
 		return "the snapshot retired"
 	default:
-		return "after " + label(a.after)
+		return "after " + resultLabel(a.after)
 	}
 }
 
-func (a *attempt) label() string {
+func (a *attempt) resultLabel() string {
 	switch {
 	case a.open:
 		return "withdrawn"
-	case a.verdict == wrongSnapshot:
+	case a.disposition == wrongSnapshot:
 		return "ok, wrong snapshot"
-	case a.verdict == malformed:
+	case a.disposition == malformed:
 		return "ok, malformed"
 	default:
-		return label(a.result)
+		return resultLabel(a.result)
 	}
 }
 
-func (s *shardState) anyOpen() bool {
+func (s *shardState) hasOpenAttempt() bool {
 	for i := range s.attempts {
 		if s.attempts[i].open {
 			return true
--- a/internal/query/alarms.go
+++ b/internal/query/timers.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// alarm is a shard's turn to be looked at.
-type alarm struct {
+// shardTimer is a timer of one shard; at is the time since the start of the query.
+type shardTimer struct {
 	at    time.Duration
 	shard int
 }
 
-// alarms is a heap of the shards' turns. A shard has one turn at a time; one
-// that was put off leaves its former alarm behind, which is dropped when it
-// comes up.
-type alarms []alarm
+// shardTimers is a min-heap of timers. A shard has one valid timer at a time, the one
+// in shardState.timerAt. Replacing it leaves the old entry in the heap, which is
+// dropped when it reaches the top.
+type shardTimers []shardTimer
 
-func (h *alarms) push(a alarm) {
+func (h *shardTimers) push(a shardTimer) {
 	list := append(*h, a)
 	i := len(list) - 1
 	for i > 0 {
@@ -27,7 +27,7 @@
 	*h = list
 }
 
-func (h *alarms) pop() {
+func (h *shardTimers) pop() {
 	list := *h
 	last := len(list) - 1
 	list[0] = list[last]
