--- a/internal/query/merge.go
+++ b/internal/query/merge.go
@@ -111,11 +111,11 @@
 // query of many shards most hits are worse than that one and cost a single comparison.
 func topK(shards []ShardOutcome, limit int) []Hit {
 	best := make(worstOnTop, 0, min(limit, countHits(shards)))
-	place := 0
+	position := 0
 	for i := range shards {
 		for j := range shards[i].Hits {
-			r := rankedHit{&shards[i].Hits[j], place}
-			place++
+			r := rankedHit{&shards[i].Hits[j], position}
+			position++
 			switch {
 			case len(best) < limit:
 				heap.Push(&best, r)
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -261,7 +261,7 @@
 	}
 }
 
-// Guards against losing a shard although one replica gave a valid answer: the first
+// Guards against losing a shard although one replica answered validly: the first
 // attempt and its hedge both answer before either is decoded, and the first body is
 // malformed. The second answer must not be dropped as a duplicate.
 func TestSecondAnswerReplacesMalformedFirst(t *testing.T) {
--- a/internal/query/timers.go
+++ b/internal/query/timers.go
@@ -13,8 +13,8 @@
 // dropped when it reaches the top.
 type shardTimers []shardTimer
 
-func (h *shardTimers) push(a shardTimer) {
-	list := append(*h, a)
+func (h *shardTimers) push(t shardTimer) {
+	list := append(*h, t)
 	i := len(list) - 1
 	for i > 0 {
 		parent := (i - 1) / 2
