--- a/internal/direct/call.go
+++ b/internal/direct/call.go
@@ -1,12 +1,11 @@
-// Package direct carries requests over a VM's own connections to upstreams: each
-// request once, on a connection that carries one request at a time, within the
-// VM's share of the connections that an upstream takes. It never sends anything
-// again by itself.
+// Package direct sends requests from this VM to upstreams over pooled HTTP/1.1
+// connections. A connection carries one request at a time, and the number of
+// connections per upstream is limited to this VM's share of what the upstream
+// accepts. The package never retries: each call is sent at most once.
 //
-// Lock order: Pools.mu, then Pool.mu, then Call.mu. Nothing that may wait is done
-// while one of them is held: the limit of connections is asked for then, and an
-// idle socket is looked at without blocking; replies are handed over and bytes
-// moved with none held.
+// Lock order: Pools.mu, then Pool.mu, then Call.mu. No blocking operation runs under
+// these locks: only the connection limit is read and idle sockets are inspected
+// without blocking. Replies are delivered and bytes are transferred with no lock held.
 package direct
 
 import (
@@ -20,78 +19,82 @@
 	"sycamorekeel.example/sycamorekeel/internal/scatter"
 )
 
-// Message is a caller's request as it goes to upstreams. It is shared by all
-// sends of the request and never changed.
+// Message is a caller's request as it is sent to upstreams. It is immutable and
+// shared by all sends of the request.
 type Message struct {
-	// ID is the caller's id of the attempt.
+	// ID is the request id that the caller gave this attempt.
 	ID string
-	// Header holds method, target, host and the end-to-end headers.
+	// Header holds the method, target, host and end-to-end headers.
 	Header *fasthttp.RequestHeader
 	Body   []byte
 }
 
-// Reply is how a call ended.
+// Reply is the outcome of a call.
 type Reply struct {
 	Result scatter.Result
-	// Detail says why there is no answer, in a few words for logs.
+	// Detail is a short reason for logs why there is no answer.
 	Detail string
 	// Proof is the upstream's signature of its answer.
 	Proof string
-	// Response is the upstream's answer: set when Result is Answered or Failed.
+	// Response is the upstream's response: set when Result is Answered or Failed.
 	Response *fasthttp.Response
-	// Load is what the upstream reported of its load with anything but an answer, nil when it
-	// did not.
+	// Load is the load that the upstream reported with a response other than an answer; nil
+	// without a report.
 	Load *Load
-	// Took is the time from the start of the write to the end of the answer.
+	// Took is the time from the start of the write to the end of the response.
 	Took time.Duration
 }
 
-// Load is what an upstream reports of its load with an answer.
+// Load is the load that an upstream reports in a response.
 type Load struct {
-	// Running and Waiting are requests, Slots is how many may run at a time.
+	// Running and Waiting count requests; Slots is the maximum that run concurrently.
 	Running, Waiting, Slots int
-	// Pace is how long work takes on its VM at that moment, 1 as usual.
+	// Pace is the current duration of work on the upstream's VM relative to the usual
+	// duration: 1 is normal, 2 is twice as long.
 	Pace float64
 }
 
-// Room tells whether a further request would not have had to wait.
+// Room reports whether one more request would have run without queueing.
 func (l *Load) Room() bool { return l.Waiting == 0 && l.Running < l.Slots }
 
-// Protocol is how upstreams are spoken to.
+// Protocol encodes requests to upstreams and decodes their responses.
 type Protocol interface {
-	// Encode fills in a request; left is the time that the upstream is given.
+	// Encode fills in req; left is the time that the upstream has to respond.
 	Encode(req *fasthttp.Request, m *Message, u *catalog.Upstream, left time.Duration)
-	// Decode judges a whole response: its result, the proof of the answer, and
-	// why it is none.
+	// Decode classifies a complete response. It returns the result, the upstream's
+	// signature of an answer, and the reason when the response is not an answer.
 	Decode(resp *fasthttp.Response, m *Message) (r scatter.Result, proof, detail string)
-	// DecodeLoad reads what an answer reports of the upstream's load; nil when it reports
-	// nothing, or nothing that can be read.
+	// DecodeLoad returns the load that a response reports, or nil when the report is
+	// missing or invalid.
 	DecodeLoad(resp *fasthttp.Response) *Load
-	// DecodeHealth reads an answer of a health path.
+	// DecodeHealth decodes the response of a health path.
 	DecodeHealth(resp *fasthttp.Response) (Health, error)
 }
 
-// Call is one send of a message to one upstream.
+// Call is a single send of a message to one upstream.
 type Call struct {
 	Message  *Message
 	Upstream *catalog.Upstream
-	// Deadline is when nobody waits for the answer any more.
+	// Deadline is the hard deadline of the request.
 	Deadline time.Time
-	// AnswerBy is when the answer should be there; zero when it never is late.
+	// AnswerBy is the soft deadline, used to order waiting calls; zero for none.
 	AnswerBy time.Time
-	// Extra says that the message was sent to an upstream of the same service before.
+	// Extra marks retries and hedges: the message was sent to an upstream of the same
+	// service before.
 	Extra bool
 	// Priority orders calls that wait for a connection; 0 goes first.
 	Priority int
-	// Barred tells, right before the call is written, why the upstream may not be given it any
-	// more, in a few words for logs; empty when it may. Nil never bars.
+	// Barred is evaluated right before the call is written. It returns a short reason for
+	// logs why the call must no longer go to this upstream, or "" to allow it. Nil allows
+	// every call.
 	Barred func() string
-	// Done gets the reply, once, from another goroutine; not after Withdraw.
+	// Done receives the reply exactly once, from another goroutine. It is not called
+	// after Withdraw.
 	Done func(Reply)
 
 	mu sync.Mutex
-	// queuedAt is when the call began to wait for a connection, zero if it got
-	// one at once; waited is for how long it did.
+	// queuedAt is when the call began to wait for a connection, zero if it got one
+	// immediately; waited is the duration of the wait.
 	queuedAt  time.Time
 	waited    time.Duration
 	conn      net.Conn
@@ -99,9 +102,9 @@
 	finished  bool
 }
 
-// Withdraw ends the call's interest: Done is not called any more. A call that
-// waits for a connection is dropped; one that is under way loses its connection,
-// which makes the upstream stop.
+// Withdraw cancels the call: Done is no longer called. A call that waits for a
+// connection is dropped. The connection of a call in flight is closed, which makes
+// the upstream stop working on it.
 func (c *Call) Withdraw() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,13 +113,13 @@
 	}
 	c.withdrawn = true
 	if c.conn != nil {
-		// An error means that the connection is closed already.
+		// Fails only when the connection is already closed.
 		_ = c.conn.SetDeadline(time.Now())
 	}
 }
 
-// Waited is how long the call has waited, or waits, because all connections that
-// this VM may have to the upstream were busy.
+// Waited returns how long the call waited, or has waited until now, because all
+// connections that this VM may have to the upstream were in use.
 func (c *Call) Waited(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,14 +129,15 @@
 	return c.waited
 }
 
-// queued notes that the call waits from now on, dequeued that it does no longer.
-func (c *Call) queued(now time.Time) {
+// markQueued records the start of the wait for a connection.
+func (c *Call) markQueued(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.queuedAt = now
 }
 
-func (c *Call) dequeued(now time.Time) {
+// markDequeued records the end of the wait.
+func (c *Call) markDequeued(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.queuedAt.IsZero() {
@@ -141,20 +145,21 @@
 	}
 }
 
-// start binds the call to a connection; false when it was withdrawn.
-func (c *Call) start(conn net.Conn) bool {
+// bind attaches the call to a connection and sets its deadline. It returns false when
+// the call was withdrawn.
+func (c *Call) bind(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.withdrawn {
 		return false
 	}
 	c.conn = conn
-	// An error shows again at the write.
+	// The following write returns the same error.
 	_ = conn.SetDeadline(c.Deadline)
 	return true
 }
 
-// finish hands over the reply unless the call was withdrawn.
+// finish delivers the reply unless the call was withdrawn or is already finished.
 func (c *Call) finish(r Reply) {
 	c.mu.Lock()
 	done := !c.withdrawn && !c.finished
@@ -166,8 +171,8 @@
 	}
 }
 
-// barred is why the upstream may not be given the call any more, empty when it may.
-func (c *Call) barred() string {
+// barredReason returns why the call must not go to its upstream, "" when it may.
+func (c *Call) barredReason() string {
 	if c.Barred == nil {
 		return ""
 	}
--- a/internal/direct/check.go
+++ b/internal/direct/check.go
@@ -10,78 +10,81 @@
 )
 
 const (
-	// checkTimeout bounds a check of whether an upstream still listens: ten round trips
-	// between regions. One that does not answer at all has not been shown to have ended.
+	// checkTimeout limits the dial that checks whether an upstream still listens: ten round
+	// trips between regions. A dial that times out does not prove that the process ended.
 	checkTimeout = 300 * time.Millisecond
-	// checkKept is how long the outcome of a check stands for the upstream's other
-	// connections that ended: they end within a moment, and a process takes longer to start.
-	checkKept = 250 * time.Millisecond
-	// bornWithin is how long a registration may take to show that a process which listens
-	// again has started anew: three heartbeats and the way of the change to this VM.
-	bornWithin = 10 * time.Second
-	// maxUndecided bounds the checks that wait for it.
-	maxUndecided = 64
+	// checkTTL is how long the result of a check is reused for the upstream's other closed
+	// connections. They close almost simultaneously, and a process takes longer to start.
+	checkTTL = 250 * time.Millisecond
+	// restartWindow limits the delay until a registration shows that the process which
+	// listens is a new one: three heartbeats plus the propagation of the change to this VM.
+	restartWindow = 10 * time.Second
+	// maxRechecks limits the callbacks that wait for such a registration.
+	maxRechecks = 64
 )
 
-// check is what was found out of whether an upstream's process has ended.
-type check struct {
+// processCheck holds the last check whether an upstream's process has ended.
+type processCheck struct {
 	running bool
-	// told wait for the outcome.
-	told  []func(ended bool)
-	at    time.Time
-	ended bool
-	// undecided are told should it show within bornWithin that the process which listens
-	// is another one.
-	undecided []undecided
+	// waiters are called with the result of the running check.
+	waiters    []func(ended bool)
+	finishedAt time.Time
+	ended      bool
+	// rechecks are called if a registration shows within restartWindow that the process
+	// which listens is a new one.
+	rechecks []recheck
 }
 
-type undecided struct {
-	until time.Time
-	told  func(ended bool)
+// recheck is a callback that was notified of a live process and is notified again if that
+// process turns out to be a new one.
+type recheck struct {
+	expires time.Time
+	notify  func(ended bool)
 }
 
-// wait keeps those who were told that the process lives.
-func (c *check) wait(now time.Time, told []func(ended bool)) {
-	c.undecided = slices.DeleteFunc(c.undecided, func(u undecided) bool { return now.After(u.until) })
-	for _, f := range told {
-		if len(c.undecided) < maxUndecided {
-			c.undecided = append(c.undecided, undecided{now.Add(bornWithin), f})
+// addRechecks drops expired rechecks and adds one for each callback that was notified of
+// a live process.
+func (c *processCheck) addRechecks(now time.Time, notify []func(ended bool)) {
+	c.rechecks = slices.DeleteFunc(c.rechecks, func(u recheck) bool { return now.After(u.expires) })
+	for _, f := range notify {
+		if len(c.rechecks) < maxRechecks {
+			c.rechecks = append(c.rechecks, recheck{now.Add(restartWindow), f})
 		}
 	}
 }
 
-// Check finds out whether the process of an upstream that closed a connection has ended, and
-// tells it from another goroutine. Connections also end for reasons of their own, with the
-// process alive and well: a proxy or the network reset them, or an answer was lost. Only
-// where nobody listens any more, or another process has taken its place, has it ended. Of a
-// process that is back before it is looked at, that shows later, by its registration: it is
-// then told a second time.
-func (p *Pools) Check(u *catalog.Upstream, told func(ended bool)) {
+// Check determines whether the process of an upstream that closed a connection has ended,
+// and calls notify with the result from another goroutine. A closed connection alone is no
+// proof: a proxy or the network may have reset it, or an answer was lost, while the process
+// runs. The process has ended only if nothing listens on the address any more or if another
+// process has replaced it. A process that restarts before the check runs is detected later
+// by its registration; notify is then called a second time, with true.
+func (p *Pools) Check(u *catalog.Upstream, notify func(ended bool)) {
 	p.mu.Lock()
 	pool := p.pools[u.ID]
 	p.mu.Unlock()
 	if pool == nil || pool.upstream.StartedAfter(u) {
-		go told(pool != nil)
+		go notify(pool != nil)
 		return
 	}
-	pool.check(time.Now(), told)
+	pool.check(time.Now(), notify)
 }
 
-// check asks once for all that wait for the outcome.
-func (p *Pool) check(now time.Time, told func(ended bool)) {
+// check starts a check, joins the running one or reuses the last result within checkTTL.
+func (p *Pool) check(now time.Time, notify func(ended bool)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case p.checked.running:
-		p.checked.told = append(p.checked.told, told)
-	case now.Sub(p.checked.at) < checkKept:
-		if !p.checked.ended {
-			p.checked.wait(now, []func(bool){told})
+	case p.process.running:
+		p.process.waiters = append(p.process.waiters, notify)
+	case now.Sub(p.process.finishedAt) < checkTTL:
+		if !p.process.ended {
+			p.process.addRechecks(now, []func(bool){notify})
 		}
-		go told(p.checked.ended)
+		go notify(p.process.ended)
 	default:
-		p.checked.running = true
-		p.checked.told = []func(bool){told}
+		p.process.running = true
+		p.process.waiters = []func(bool){notify}
 		go p.runCheck()
 	}
 }
@@ -90,6 +93,7 @@
 	return net.DialTimeout("tcp", address, timeout)
 }
 
+// runCheck dials the upstream and notifies all waiters of the result.
 func (p *Pool) runCheck() {
 	ended, opened := sockpeek.NobodyListens(dialTCP, p.upstream.Address, checkTimeout)
 	if opened {
@@ -97,26 +101,27 @@
 	}
 	now := time.Now()
 	p.mu.Lock()
-	c := &p.checked
-	told := c.told
-	c.running, c.told, c.at, c.ended = false, nil, now, ended
+	c := &p.process
+	waiters := c.waiters
+	c.running, c.waiters, c.finishedAt, c.ended = false, nil, now, ended
 	if !ended {
-		c.wait(now, told)
+		c.addRechecks(now, waiters)
 	}
 	p.mu.Unlock()
-	for _, f := range told {
+	for _, f := range waiters {
 		f(ended)
 	}
 }
 
-func (p *Pool) hasUndecided() bool {
+func (p *Pool) hasRechecks() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.checked.undecided) > 0
+	return len(p.process.rechecks) > 0
 }
 
-// taken tells whether another upstream has an address: what had it before has ended.
-func taken(known map[string]*catalog.Upstream, address string) bool {
+// addressInUse reports whether a known upstream has the address. A removed upstream that
+// had the same address before has then ended.
+func addressInUse(known map[string]*catalog.Upstream, address string) bool {
 	for _, u := range known {
 		if u.Address == address {
 			return true
@@ -125,16 +130,16 @@
 	return false
 }
 
-// startedAgain tells those who wait that the process has ended after all. The caller holds
-// no lock.
-func (p *Pool) startedAgain(now time.Time) {
+// reportRestart notifies the rechecks that have not expired that the process has ended
+// after all. The caller must hold no lock.
+func (p *Pool) reportRestart(now time.Time) {
 	p.mu.Lock()
-	waiting := p.checked.undecided
-	p.checked.undecided = nil
+	waiting := p.process.rechecks
+	p.process.rechecks = nil
 	p.mu.Unlock()
 	for _, u := range waiting {
-		if !now.After(u.until) {
-			u.told(true)
+		if !now.After(u.expires) {
+			u.notify(true)
 		}
 	}
 }
--- a/internal/direct/check_test.go
+++ b/internal/direct/check_test.go
@@ -10,29 +10,28 @@
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
 )
 
-// checked is the outcome of a check.
-func (c *client) checked() bool {
+// processEnded checks the client's upstream and returns the result.
+func (c *client) processEnded() bool {
 	c.t.Helper()
 	out := make(chan bool, 1)
 	c.pools.Check(c.up, func(ended bool) { out <- ended })
 	select {
 	case ended := <-out:
 		return ended
-	case <-time.After(patience):
-		c.t.Fatal("no outcome")
+	case <-time.After(testTimeout):
+		c.t.Fatal("the check returns no result")
 		return false
 	}
 }
 
-// A connection that ends shows nothing of the process behind it: only one that does not
-// listen any more has ended.
-func TestAProcessThatEndsIsToldFromAConnectionThatDoes(t *testing.T) {
+// A closed connection does not prove that its process has ended; a refused dial does.
+func TestCheckDistinguishesEndedProcessFromClosedConnection(t *testing.T) {
 	for _, ends := range []bool{false, true} {
 		closing := make(chan net.Listener, 1)
 		s := newServer(t, func(_ int, c net.Conn) {
 			br := bufio.NewReader(c)
-			for id := read(br); id != "" && id != "end"; id = read(br) {
-				fmt.Fprint(c, whole(id, "x"))
+			for id := readID(br); id != "" && id != "end"; id = readID(br) {
+				fmt.Fprint(c, response(id, "x"))
 			}
 			if ends {
 				ln := <-closing
@@ -43,24 +42,24 @@
 		cl := newClient(t, s, 1)
 		cl.call("1")
 		cl.call("end")
-		if got := cl.checked(); got != ends {
-			t.Errorf("the process ends %v, found %v", ends, got)
+		if got := cl.processEnded(); got != ends {
+			t.Errorf("process ended: %v, check reports %v", ends, got)
 		}
 		before := s.connections()
 		for range 5 {
-			if got := cl.checked(); got != ends {
-				t.Errorf("asked again: the process ends %v, found %v", ends, got)
+			if got := cl.processEnded(); got != ends {
+				t.Errorf("repeated check: process ended: %v, check reports %v", ends, got)
 			}
 		}
 		if n := s.connections() - before; n > 1 {
-			t.Errorf("%d connections for checks of one moment", n)
+			t.Errorf("%d connections for checks within checkTTL, want at most 1", n)
 		}
 	}
 }
 
-// Where another process has taken the place of the one that was asked, that one has ended.
-func TestAProcessThatStartedAgainHasEnded(t *testing.T) {
-	s := newServer(t, answering(func(id string) string { return whole(id, "x") }))
+// The check of an earlier registration reports that its process has ended.
+func TestCheckOfReplacedProcess(t *testing.T) {
+	s := newServer(t, respondWith(func(id string) string { return response(id, "x") }))
 	cl := newClient(t, s, 1)
 	former := *cl.up
 	former.Born = time.Unix(1000, 0)
@@ -69,17 +68,16 @@
 	cl.up = &later
 	cl.call("1")
 	cl.up = &former
-	if !cl.checked() {
-		t.Error("the former process is taken to live")
+	if !cl.processEnded() {
+		t.Error("the replaced process is reported as running")
 	}
 }
 
-// Symptom: a request crashes one upstream after the other, and nobody takes note.
-// Sequence: a supervisor starts the process again within a millisecond; who looks whether it
-// has ended finds somebody listening. Later its registration shows another start, or another
-// id has its address.
-// Cause: the first look was the last.
-func TestAProcessThatIsBackAtOnceHasEnded(t *testing.T) {
+// Guards against missed crashes: a supervisor restarts a crashed process within a
+// millisecond, so the check finds a listener and reports a running process. Only a later
+// registration shows another start, or another id at the address; without a second
+// notification a request can crash one upstream after the other undetected.
+func TestCheckReportsImmediateRestartLater(t *testing.T) {
 	for _, c := range []struct {
 		id, address string
 		ended       bool
@@ -88,14 +86,14 @@
 		{"v", "", true},
 		{"v", "127.0.0.1:1", false},
 	} {
-		s := newServer(t, answering(func(id string) string { return whole(id, "x") }))
+		s := newServer(t, respondWith(func(id string) string { return response(id, "x") }))
 		cl := newClient(t, s, 1)
 		cl.up.Born = time.Unix(1000, 0)
 		cl.call("1")
 		out := make(chan bool, 2)
 		cl.pools.Check(cl.up, func(ended bool) { out <- ended })
 		if <-out {
-			t.Error("somebody listens, and it is said to have ended")
+			t.Error("a listening process is reported as ended")
 		}
 		later := *cl.up
 		later.ID = c.id
@@ -105,7 +103,7 @@
 		}
 		cl.pools.Keep(map[string]*catalog.Upstream{c.id: &later})
 		if ended := len(out) == 1 && <-out; ended != c.ended {
-			t.Errorf("%s at %q: told that it has ended %v, want %v", c.id, c.address, ended, c.ended)
+			t.Errorf("%s at %q: reported as ended: %v, want %v", c.id, c.address, ended, c.ended)
 		}
 	}
 }
--- a/internal/direct/conn.go
+++ b/internal/direct/conn.go
@@ -17,72 +17,72 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection. A VM behind a partition
-	// does not answer at all; three round trips between regions and the
-	// upstream's own handshake take well under a tenth of a second.
+	// dialTimeout limits the opening of a connection. A VM behind a network partition
+	// does not respond at all; three round trips between regions plus the upstream's
+	// own handshake take well under a tenth of a second.
 	dialTimeout = 500 * time.Millisecond
-	// idleDefault is how long an idle connection is used again when the upstream
-	// has not said how long it keeps one.
-	idleDefault = 4 * time.Second
-	// idleMargin is taken off the time that the upstream said: its close may be
-	// on the way while a request is written.
+	// defaultIdleTimeout is how long an idle connection is reused when the upstream
+	// sends no Keep-Alive timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// idleMargin is subtracted from the upstream's Keep-Alive timeout: its close may
+	// be in transit while a request is written.
 	idleMargin = 500 * time.Millisecond
-	// bufferBytes is each connection's buffer for reading and for writing; a
-	// usual request or part fits.
+	// bufferBytes is the size of each connection's read buffer and write buffer; a
+	// typical request or partial answer fits.
 	bufferBytes = 2048
-	// maxReplyBytes bounds an answer that is held whole in memory.
+	// maxReplyBytes limits the size of a response, which is held in memory as a whole.
 	maxReplyBytes = 16 << 20
-	// shutMargin is added to the time that a connection took to open: one that is
-	// closed within both, before any byte of an answer, was not let in. Work and
-	// the set-up of a connection at an upstream take longer.
-	shutMargin = 4 * time.Millisecond
-	// asideBytes is the body size from which a request is written beside the
-	// reading of the answer: an upstream may answer before it has read a long
-	// body, and writing would wait for it to read on.
-	asideBytes = 8 << 10
+	// rejectMargin is added to the dial time of a connection. If the upstream closes
+	// the connection within the sum, before any response byte, it has rejected the
+	// connection: accepting a connection and processing a request take longer.
+	rejectMargin = 4 * time.Millisecond
+	// asyncWriteBytes is the body size from which a request is written concurrently
+	// with reading the response: an upstream may respond before it has read a long
+	// body, and the write would block until it reads on.
+	asyncWriteBytes = 8 << 10
 )
 
-// conn is one connection and the goroutine that uses it.
+// conn is a connection to an upstream and the state of its goroutine.
 type conn struct {
-	pool *Pool
-	net  net.Conn
-	// bytes is what the present call has moved, both ways.
+	pool    *Pool
+	netConn net.Conn
+	// bytes counts the bytes of the current call in both directions.
 	bytes atomic.Int64
 	br    *bufio.Reader
 	bw    *bufio.Writer
-	// work hands over the next call; it is closed to end the connection.
-	work chan *Call
-	// idleUntil is when the upstream may close the idle connection.
+	// calls delivers the next call; closing it ends the connection.
+	calls chan *Call
+	// idleUntil is when the upstream may close the connection if it is idle.
 	idleUntil time.Time
-	// dialed is how long the connection took to open; 0 once it has carried an
-	// answer.
-	dialed time.Duration
+	// dialTime is how long the connection took to open; 0 after the first byte of a
+	// response.
+	dialTime time.Duration
 }
 
-// run opens the connection and serves calls until it is of no more use.
+// run opens the connection and serves calls until it can no longer be used.
 func (c *conn) run(call *Call) {
-	defer c.pool.ended(c)
+	defer c.pool.connEnded(c)
 	began := time.Now()
 	nc, err := net.DialTimeout("tcp", c.pool.upstream.Address, min(dialTimeout, max(time.Until(call.Deadline), time.Millisecond)))
 	if err != nil {
-		c.pool.refuse(call, err)
+		c.pool.dialFailed(call, err)
 		return
 	}
-	if !c.pool.opens(nc) {
-		// An error says no more than that it is closed.
+	if !c.pool.registerSocket(nc) {
+		// The connection is discarded; a close error changes nothing.
 		_ = nc.Close()
-		call.finish(Reply{Result: scatter.Unreached, Detail: goneUpstream})
+		call.finish(Reply{Result: scatter.Unreached, Detail: detailUpstreamGone})
 		return
 	}
-	c.net = nc
-	c.dialed = time.Since(began)
+	c.netConn = nc
+	c.dialTime = time.Since(began)
 	c.pool.observer.Opened(c.pool.upstream)
 	counted := traffic.CountConn(nc, func(n int) { c.bytes.Add(int64(n)) })
 	c.br = bufio.NewReaderSize(counted, bufferBytes)
 	c.bw = bufio.NewWriterSize(counted, bufferBytes)
-	c.idleUntil = time.Now().Add(idleDefault)
+	c.idleUntil = time.Now().Add(defaultIdleTimeout)
 	defer nc.Close()
-	if err := c.greet(counted); err != nil {
+	if err := c.checkHealth(counted); err != nil {
 		call.finish(Reply{Result: scatter.Barred, Detail: "health: " + err.Error()})
 		return
 	}
@@ -94,7 +94,8 @@
 	}
 }
 
-// serve carries one call; false when the connection is of no more use.
+// serve sends one call and reads its response. It returns false when the connection
+// must not be reused.
 func (c *conn) serve(call *Call) bool {
 	now := time.Now()
 	left := call.Deadline.Sub(now)
@@ -102,11 +103,11 @@
 		call.finish(Reply{Result: scatter.Expired, Detail: "no time left"})
 		return true
 	}
-	if why := call.barred(); why != "" {
-		call.finish(Reply{Result: scatter.Barred, Detail: why})
+	if reason := call.barredReason(); reason != "" {
+		call.finish(Reply{Result: scatter.Barred, Detail: reason})
 		return true
 	}
-	if !call.start(c.net) {
+	if !call.bind(c.netConn) {
 		return true
 	}
 	defer func() { c.pool.observer.Sent(c.pool.upstream, call.Extra, int(c.bytes.Swap(0))) }()
@@ -114,19 +115,19 @@
 	c.pool.protocol.Encode(&req, call.Message, call.Upstream, left)
 	written, err := c.write(&req, len(call.Message.Body))
 	if err != nil {
-		call.finish(c.unanswered(err, time.Since(now)))
+		call.finish(c.noResponse(err, time.Since(now)))
 		return false
 	}
 	if _, err = c.br.Peek(1); err != nil {
-		call.finish(c.unanswered(err, time.Since(now)))
+		call.finish(c.noResponse(err, time.Since(now)))
 		return false
 	}
-	c.dialed = 0
+	c.dialTime = 0
 	resp := &fasthttp.Response{}
 	resp.SkipBody = req.Header.IsHead()
 	err = resp.ReadLimitBody(c.br, maxReplyBytes)
 	if err != nil {
-		call.finish(c.lost(err))
+		call.finish(c.lostReply(err))
 		return false
 	}
 	reply := Reply{Response: resp, Took: time.Since(now)}
@@ -134,13 +135,14 @@
 	if reply.Result != scatter.Answered {
 		reply.Load = c.pool.protocol.DecodeLoad(resp)
 	}
-	c.pool.answered(reply.Took)
+	c.pool.observeLatency(reply.Took)
 	usable := c.reusable(resp, written) && reply.Result != scatter.Lost
 	call.finish(reply)
 	return usable && !call.isWithdrawn()
 }
 
-// write sends the request. The channel gives nil once all of it is written.
+// write sends the request; a large body is sent from another goroutine. The returned
+// channel receives the result of the complete write, nil on success.
 func (c *conn) write(req *fasthttp.Request, body int) (<-chan error, error) {
 	done := make(chan error, 1)
 	send := func() error {
@@ -149,7 +151,7 @@
 		}
 		return c.bw.Flush()
 	}
-	if body < asideBytes {
+	if body < asyncWriteBytes {
 		err := send()
 		done <- err
 		return done, err
@@ -158,9 +160,10 @@
 	return done, nil
 }
 
-// reusable tells whether the connection stands right before the next answer.
-// Bytes after the answer belong to no request, and an upstream that answered
-// before it had read the whole request would take the next one for the rest.
+// reusable reports whether the connection is ready for the next request and extends
+// its idle time if so. Bytes after the response belong to no request. An upstream that
+// responded before it had read the whole request would read the next request as the
+// rest of that one.
 func (c *conn) reusable(resp *fasthttp.Response, written <-chan error) bool {
 	select {
 	case err := <-written:
@@ -177,7 +180,8 @@
 	return true
 }
 
-// keepAlive is how long the upstream keeps the connection open while idle.
+// keepAlive returns how long the connection may be idle and still be reused: the
+// timeout of the Keep-Alive header less idleMargin, or defaultIdleTimeout.
 func keepAlive(resp *fasthttp.Response) time.Duration {
 	for field := range strings.SplitSeq(string(resp.Header.Peek("Keep-Alive")), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
@@ -188,47 +192,47 @@
 			return max(time.Duration(seconds)*time.Second-idleMargin, 0)
 		}
 	}
-	return idleDefault
+	return defaultIdleTimeout
 }
 
-// unanswered is the reply of a call that was written, at least in part, and of
-// whose answer no byte has come after so long.
-func (c *conn) unanswered(err error, after time.Duration) Reply {
-	reply := c.lost(err)
-	if !timedOut(err) && !c.pool.isAbandoned() {
+// noResponse returns the reply to a call that was written, at least in part, and whose
+// connection failed before any response byte, elapsed after the start of the call.
+func (c *conn) noResponse(err error, elapsed time.Duration) Reply {
+	reply := c.lostReply(err)
+	if !isTimeout(err) && !c.pool.isAbandoned() {
 		reply.Result = scatter.Broken
 	}
-	if c.dialed > 0 && after < c.dialed+shutMargin && !c.pool.isAbandoned() {
-		c.pool.shut(time.Now())
+	if c.dialTime > 0 && elapsed < c.dialTime+rejectMargin && !c.pool.isAbandoned() {
+		c.pool.connRejected(time.Now())
 		reply.Result = scatter.Shut
 	}
 	return reply
 }
 
-// lost is the reply of a call that was written, at least in part, and has no
-// whole answer.
-func (c *conn) lost(err error) Reply {
-	if timedOut(err) {
+// lostReply returns the reply to a call that was written, at least in part, and got no
+// complete response.
+func (c *conn) lostReply(err error) Reply {
+	if isTimeout(err) {
 		return Reply{Result: scatter.Lost, Detail: "no answer in time"}
 	}
 	c.pool.observer.Ended(c.pool.upstream)
 	return Reply{Result: scatter.Lost, Detail: "connection: " + err.Error()}
 }
 
-// timedOut tells whether an error of a connection says that its time was up.
-func timedOut(err error) bool {
+// isTimeout reports whether err is a network timeout.
+func isTimeout(err error) bool {
 	var ne net.Error
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
-// usable looks whether an idle connection can take a request. A connection that
-// the upstream has closed, or on which something waits that answers no request,
-// cannot: the request would be lost, or get a foreign answer.
+// usable reports whether an idle connection can carry a request. On a connection that
+// the upstream has closed the request would be lost; on one with unread bytes it would
+// get the answer to another request.
 func (c *conn) usable(now time.Time) bool {
 	if !now.Before(c.idleUntil) {
 		return false
 	}
-	state := sockpeek.Look(c.net)
+	state := sockpeek.Look(c.netConn)
 	if state == sockpeek.Ended {
 		c.pool.observer.Ended(c.pool.upstream)
 	}
--- a/internal/direct/direct_test.go
+++ b/internal/direct/direct_test.go
@@ -17,13 +17,13 @@
 	"sycamorekeel.example/sycamorekeel/internal/scatter"
 )
 
-// patience bounds what a test waits for; no test passes by it running out.
-const patience = 10 * time.Second
+// testTimeout limits how long a test waits; no test passes by reaching it.
+const testTimeout = 10 * time.Second
 
-// plain is a protocol with an id header and nothing else.
-type plain struct{}
+// idProtocol is a Protocol whose only header is the request id.
+type idProtocol struct{}
 
-func (plain) Encode(req *fasthttp.Request, m *Message, _ *catalog.Upstream, _ time.Duration) {
+func (idProtocol) Encode(req *fasthttp.Request, m *Message, _ *catalog.Upstream, _ time.Duration) {
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.Header.SetHost("h")
 	req.SetRequestURI("/")
@@ -31,20 +31,20 @@
 	req.SetBodyRaw(m.Body)
 }
 
-func (plain) Decode(resp *fasthttp.Response, m *Message) (scatter.Result, string, string) {
+func (idProtocol) Decode(resp *fasthttp.Response, m *Message) (scatter.Result, string, string) {
 	if string(resp.Header.Peek("Id")) != m.ID {
 		return scatter.Lost, "", "foreign"
 	}
 	return scatter.Answered, "", ""
 }
 
-func (plain) DecodeLoad(*fasthttp.Response) *Load { return nil }
+func (idProtocol) DecodeLoad(*fasthttp.Response) *Load { return nil }
 
-func (plain) DecodeHealth(resp *fasthttp.Response) (Health, error) {
+func (idProtocol) DecodeHealth(resp *fasthttp.Response) (Health, error) {
 	return Health{Upstream: string(resp.Header.Peek("Id"))}, nil
 }
 
-// server is an upstream whose connections are each served by a function.
+// server is an upstream that serves each connection with a function.
 type server struct {
 	ln     net.Listener
 	mu     sync.Mutex
@@ -52,6 +52,7 @@
 	conns  []net.Conn
 }
 
+// newServer starts a server; serve gets each connection and its number from 0.
 func newServer(t *testing.T, serve func(n int, c net.Conn)) *server {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -97,8 +98,8 @@
 	return &catalog.Upstream{ID: "u", Service: "s", Address: s.ln.Addr().String()}
 }
 
-// read reads one request and gives its id; "" at the end.
-func read(br *bufio.Reader) string {
+// readID reads one request and returns its id, "" when the connection ends.
+func readID(br *bufio.Reader) string {
 	var req fasthttp.Request
 	if err := req.Read(br); err != nil {
 		return ""
@@ -106,15 +107,16 @@
 	return string(req.Header.Peek("Id"))
 }
 
-func whole(id, body string) string {
+// response returns a complete response with an id.
+func response(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// answering serves each request with what answer gives for its id.
-func answering(answer func(id string) string) func(int, net.Conn) {
+// respondWith serves each request with the bytes that answer returns for its id.
+func respondWith(answer func(id string) string) func(int, net.Conn) {
 	return func(_ int, c net.Conn) {
 		br := bufio.NewReader(c)
-		for id := read(br); id != ""; id = read(br) {
+		for id := readID(br); id != ""; id = readID(br) {
 			if _, err := c.Write([]byte(answer(id))); err != nil {
 				return
 			}
@@ -122,36 +124,36 @@
 	}
 }
 
-// nobody counts nothing.
-type nobody struct{}
+// nopObserver is an Observer that does nothing.
+type nopObserver struct{}
 
-func (nobody) Opened(*catalog.Upstream) {}
+func (nopObserver) Opened(*catalog.Upstream) {}
 
-// asking counts nothing and has connections ask for health first.
-type asking struct {
-	nobody
+// healthObserver makes connections check the health first and counts successful checks.
+type healthObserver struct {
+	nopObserver
 	answered *atomic.Int64
 }
 
-func (asking) HealthPath(*catalog.Upstream) string { return "/health" }
+func (healthObserver) HealthPath(*catalog.Upstream) string { return "/health" }
 
-func (a asking) HealthAnswered(_ *catalog.Upstream, _ time.Time, _ Health, err error) {
+func (a healthObserver) HealthAnswered(_ *catalog.Upstream, _ time.Time, _ Health, err error) {
 	if err == nil {
 		a.answered.Add(1)
 	}
 }
 
-func (nobody) HealthPath(*catalog.Upstream) string { return "" }
+func (nopObserver) HealthPath(*catalog.Upstream) string { return "" }
 
-func (nobody) HealthAnswered(*catalog.Upstream, time.Time, Health, error) {}
+func (nopObserver) HealthAnswered(*catalog.Upstream, time.Time, Health, error) {}
 
-func (nobody) HealthBytes(*catalog.Upstream, int) {}
+func (nopObserver) HealthBytes(*catalog.Upstream, int) {}
 
-func (nobody) Ended(*catalog.Upstream) {}
+func (nopObserver) Ended(*catalog.Upstream) {}
 
-func (nobody) Sent(*catalog.Upstream, bool, int) {}
+func (nopObserver) Sent(*catalog.Upstream, bool, int) {}
 
-// client is pools with a limit, and a way to make calls.
+// client makes calls to one upstream through pools with a connection limit.
 type client struct {
 	t     *testing.T
 	pools *Pools
@@ -159,25 +161,25 @@
 }
 
 func newClient(t *testing.T, s *server, limit int) *client {
-	c := &client{t: t, pools: NewPools(plain{}, nobody{}, func(string) int { return limit }), up: s.upstream()}
+	c := &client{t: t, pools: NewPools(idProtocol{}, nopObserver{}, func(string) int { return limit }), up: s.upstream()}
 	t.Cleanup(c.pools.Close)
 	return c
 }
 
-// begin makes a call and gives the channel of its reply.
+// begin starts a call and returns it with the channel of its reply.
 func (c *client) begin(id string, body []byte, priority int) (*Call, <-chan Reply) {
 	call, done := c.prepare(id, body, priority)
 	c.pools.Do(call)
 	return call, done
 }
 
-// prepare is a call that is not made yet, and the channel of its reply.
+// prepare returns a call that is not started yet and the channel of its reply.
 func (c *client) prepare(id string, body []byte, priority int) (*Call, <-chan Reply) {
 	done := make(chan Reply, 1)
 	call := &Call{
 		Message:  &Message{ID: id, Body: body},
 		Upstream: c.up,
-		Deadline: time.Now().Add(patience),
+		Deadline: time.Now().Add(testTimeout),
 		Priority: priority,
 		Done:     func(r Reply) { done <- r },
 	}
@@ -189,7 +191,7 @@
 	select {
 	case r := <-done:
 		return r
-	case <-time.After(2 * patience):
+	case <-time.After(2 * testTimeout):
 		c.t.Fatal("no reply")
 		return Reply{}
 	}
@@ -201,27 +203,28 @@
 	return c.wait(done)
 }
 
-// untilNoneOpen waits until the upstream's last connection counts as ended: a reply is
-// handed over just before, by the connection's own goroutine.
-func (c *client) untilNoneOpen() {
+// waitAllClosed waits until the pool counts no open connection. The connection's goroutine
+// delivers the reply before it closes the connection.
+func (c *client) waitAllClosed() {
 	c.t.Helper()
-	c.until("the connection does not end", func(p *Pool) bool { return p.open == 0 })
+	c.waitPool("the connection stays open", func(p *Pool) bool { return p.open == 0 })
 }
 
-// untilIdle waits until no connection is in use: a reply is handed over just before its
-// connection counts as idle.
-func (c *client) untilIdle() {
+// waitIdle waits until no connection is in use. A reply is delivered before its connection
+// becomes idle.
+func (c *client) waitIdle() {
 	c.t.Helper()
-	c.until("the connection stays in use", func(p *Pool) bool { return p.busy() == 0 })
+	c.waitPool("the connection stays in use", func(p *Pool) bool { return p.busy() == 0 })
 }
 
-// until waits for a state of the upstream's pool, which is asked for with its lock held.
-func (c *client) until(otherwise string, reached func(*Pool) bool) {
+// waitPool waits until reached returns true, which is called with the lock of the upstream's
+// pool held. It fails the test with a message on timeout.
+func (c *client) waitPool(message string, reached func(*Pool) bool) {
 	c.t.Helper()
 	c.pools.mu.Lock()
 	pool := c.pools.pools[c.up.ID]
 	c.pools.mu.Unlock()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		pool.mu.Lock()
 		done := reached(pool)
 		pool.mu.Unlock()
@@ -229,28 +232,28 @@
 			return
 		}
 	}
-	c.t.Fatal(otherwise)
+	c.t.Fatal(message)
 }
 
-// Each row is a way in which upstreams break answers. What belongs to no request
-// or is not whole never becomes an answer, and the connection is not used again.
-func TestBrokenAnswers(t *testing.T) {
+// A response that is malformed or belongs to another request is never taken for an answer.
+// After it, or after extra bytes, the connection is not reused.
+func TestInvalidResponses(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		answer func(id string) string
 		result scatter.Result
 		reused bool
 	}{
-		{"whole", func(id string) string { return whole(id, "x") }, scatter.Answered, true},
-		{"to another request", func(string) string { return whole("other", "x") }, scatter.Lost, false},
-		{"no bytes of the protocol", func(string) string { return "garbage\r\n\r\n" }, scatter.Lost, false},
-		{"with bytes after it", func(id string) string { return whole(id, "x") + "more" }, scatter.Answered, false},
-		{"followed by a second one", func(id string) string { return whole(id, "x") + whole(id, "y") }, scatter.Answered, false},
-		{"says that it closes", func(id string) string {
-			return strings.Replace(whole(id, "x"), "\r\nId", "\r\nConnection: close\r\nId", 1)
+		{"whole", func(id string) string { return response(id, "x") }, scatter.Answered, true},
+		{"to another request", func(string) string { return response("other", "x") }, scatter.Lost, false},
+		{"not HTTP", func(string) string { return "garbage\r\n\r\n" }, scatter.Lost, false},
+		{"followed by extra bytes", func(id string) string { return response(id, "x") + "more" }, scatter.Answered, false},
+		{"followed by a second response", func(id string) string { return response(id, "x") + response(id, "y") }, scatter.Answered, false},
+		{"with Connection: close", func(id string) string {
+			return strings.Replace(response(id, "x"), "\r\nId", "\r\nConnection: close\r\nId", 1)
 		}, scatter.Answered, false},
 	} {
-		s := newServer(t, answering(c.answer))
+		s := newServer(t, respondWith(c.answer))
 		cl := newClient(t, s, 1)
 		if r := cl.call("1"); r.Result != c.result {
 			t.Errorf("%s: %v (%s), want %v", c.name, r.Result, r.Detail, c.result)
@@ -264,13 +267,14 @@
 	}
 }
 
-// An upstream that ends under a request is told from one whose answer is bad or late.
-func TestAConnectionThatEndsUnderARequestIsBroken(t *testing.T) {
+// A connection that ends after the request and before the response is Broken, unlike an
+// invalid or late response.
+func TestConnectionClosedBeforeResponseIsBroken(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		s := newServer(t, func(_ int, c net.Conn) {
 			br := bufio.NewReader(c)
-			for id := read(br); id != "end"; id = read(br) {
-				fmt.Fprint(c, whole(id, "x"))
+			for id := readID(br); id != "end"; id = readID(br) {
+				fmt.Fprint(c, response(id, "x"))
 			}
 			if reset {
 				c.(*net.TCPConn).SetLinger(0)
@@ -284,9 +288,9 @@
 	}
 }
 
-// An answer without a length is whole when its connection ends, and is not when
-// the connection is reset or ends before its stated length.
-func TestAnswersThatEndWithTheirConnection(t *testing.T) {
+// A response without a length is complete when its connection closes. It is incomplete when
+// the connection is reset or closes before the stated length.
+func TestResponsesEndedByTheirConnection(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		head   string
@@ -304,10 +308,10 @@
 		}
 		s := newServer(t, func(_ int, conn net.Conn) {
 			br := bufio.NewReader(conn)
-			id := read(br)
+			id := readID(br)
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\n%s\r\n%s", id, c.head, body)
 			if c.reset {
-				// The client has read the start by the time it asks no more.
+				// Give the client time to read the start of the response.
 				time.Sleep(20 * time.Millisecond)
 				conn.(*net.TCPConn).SetLinger(0)
 			}
@@ -318,19 +322,18 @@
 	}
 }
 
-// Symptom: a request gets the late answer of the one before it.
-// Sequence: an upstream sends a second answer after the connection was given
-// back; the next request goes out on that connection.
-// Cause: nothing looked at what had come in between.
-func TestBytesOnAnIdleConnectionEndIt(t *testing.T) {
+// Guards against a request that gets a late answer to the previous one: the upstream sends a
+// second response while the connection is idle, and the next request is written without a
+// check for unread bytes.
+func TestIdleConnectionWithUnreadBytesIsClosed(t *testing.T) {
 	extra := make(chan bool)
 	s := newServer(t, func(n int, c net.Conn) {
 		br := bufio.NewReader(c)
-		for id := read(br); id != ""; id = read(br) {
-			fmt.Fprint(c, whole(id, "x"))
+		for id := readID(br); id != ""; id = readID(br) {
+			fmt.Fprint(c, response(id, "x"))
 			if n == 0 {
 				<-extra
-				fmt.Fprint(c, whole(id, "late"))
+				fmt.Fprint(c, response(id, "late"))
 				extra <- true
 			}
 		}
@@ -339,9 +342,9 @@
 	cl.call("1")
 	extra <- true
 	<-extra
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		cl.pools.Expire(time.Now())
-		if cl.idle() == 0 {
+		if cl.idleConns() == 0 {
 			break
 		}
 	}
@@ -350,8 +353,8 @@
 	}
 }
 
-// idle is how many connections are idle.
-func (c *client) idle() int {
+// idleConns returns the number of idle connections.
+func (c *client) idleConns() int {
 	n := 0
 	for _, p := range c.pools.all() {
 		p.mu.Lock()
@@ -361,18 +364,18 @@
 	return n
 }
 
-// Symptom: upstreams reset connections beyond what they take.
-// Sequence: a burst of calls opens a connection each.
-// Cause: no bound; calls beyond it have to wait, the urgent first.
+// Guards against a burst of calls that opens one connection each, of which the upstream
+// resets those beyond its limit. Calls beyond the connection limit wait in the order of
+// priority.
 func TestCallsBeyondTheLimitWaitByPriority(t *testing.T) {
-	go1 := make(chan bool)
+	release := make(chan bool)
 	order := make(chan string, 9)
-	s := newServer(t, answering(func(id string) string {
+	s := newServer(t, respondWith(func(id string) string {
 		order <- id
 		if id == "first" {
-			<-go1
+			<-release
 		}
-		return whole(id, "x")
+		return response(id, "x")
 	}))
 	cl := newClient(t, s, 1)
 	_, first := cl.begin("first", nil, 1)
@@ -381,12 +384,12 @@
 	}
 	lowCall, low := cl.begin("low", nil, 2)
 	if lowCall.Waited(time.Now().Add(time.Second)) < time.Second {
-		t.Error("a call that waits does not say so")
+		t.Error("Waited does not include the current wait")
 	}
 	_, mid := cl.begin("mid", nil, 1)
 	_, top := cl.begin("top", nil, 0)
 	_, mid2 := cl.begin("mid2", nil, 1)
-	close(go1)
+	close(release)
 	for _, d := range []<-chan Reply{first, low, mid, top, mid2} {
 		if r := cl.wait(d); r.Result != scatter.Answered {
 			t.Error(r.Detail)
@@ -400,19 +403,19 @@
 	}
 }
 
-// Symptom: under more load than an upstream carries every request is late.
-// Sequence: three calls wait; the first of them cannot be in time any more.
-// Cause: it had its turn nonetheless, and the next one was late by then as well.
-func TestWhoCanBeInTimeGoesFirst(t *testing.T) {
+// Guards against an overloaded upstream for which every request is late: three calls wait
+// and the first can no longer meet its soft deadline. If it were sent first, the next one
+// would be late as well.
+func TestCallsThatCanMeetTheirSoftDeadlineGoFirst(t *testing.T) {
 	order, release := make(chan string, 4), make(chan bool, 4)
-	s := newServer(t, answering(func(id string) string {
+	s := newServer(t, respondWith(func(id string) string {
 		order <- id
 		<-release
-		return whole(id, "x")
+		return response(id, "x")
 	}))
 	cl := newClient(t, s, 1)
 	var replies []<-chan Reply
-	for i, answerBy := range []time.Duration{patience, -time.Second, patience, -time.Second} {
+	for i, answerBy := range []time.Duration{testTimeout, -time.Second, testTimeout, -time.Second} {
 		call, done := cl.prepare(fmt.Sprint(i), nil, 0)
 		call.AnswerBy = time.Now().Add(answerBy)
 		cl.pools.Do(call)
@@ -431,14 +434,14 @@
 	}
 }
 
-// A pool with a window leaves further connections alone, and goes on as soon as
-// the window allows it.
-func TestAWindowBoundsWhatIsUnderWay(t *testing.T) {
+// A pool uses no more connections than its window, and sends waiting calls as soon as the
+// window is raised.
+func TestWindowLimitsCallsInFlight(t *testing.T) {
 	arrived, release := make(chan bool, 4), make(chan bool, 4)
-	s := newServer(t, answering(func(id string) string {
+	s := newServer(t, respondWith(func(id string) string {
 		arrived <- true
 		<-release
-		return whole(id, "x")
+		return response(id, "x")
 	}))
 	cl := newClient(t, s, 4)
 	_, first := cl.begin("1", nil, 0)
@@ -447,7 +450,7 @@
 	_, second := cl.begin("2", nil, 0)
 	_, third := cl.begin("3", nil, 0)
 	if ahead := cl.pools.Ahead(time.Now(), []*catalog.Upstream{cl.up}); ahead[0] != 3 {
-		t.Errorf("%v answers ahead with one under way and two that wait", ahead[0])
+		t.Errorf("%v answers ahead with one call in flight and two waiting, want 3", ahead[0])
 	}
 	release <- true
 	cl.wait(first)
@@ -462,61 +465,58 @@
 	cl.wait(second)
 	cl.wait(third)
 	if n := s.connections(); n != 2 {
-		t.Errorf("%d connections, want the two that were needed", n)
+		t.Errorf("%d connections, want 2", n)
 	}
 }
 
-// Symptom: after a loss of power queries lose a tenth of their parts and the
-// retry budget with them, while the upstreams are a third busy.
-// Sequence: an upstream counts the connections of processes that are gone; their
-// successors open new ones, and it closes each at once. Each was taken for a
-// request that may have run, and the next call opened one more.
-// Cause: being over an upstream's cap was not told from a lost answer.
-func TestConnectionsThatAreClosedAtOnceAreShutOut(t *testing.T) {
-	over := atomic.Bool{}
-	over.Store(true)
+// Guards against queries that lose a tenth of their parts, and the retry budget with them,
+// after a power failure while the upstreams are only a third busy. An upstream still counts
+// the connections of dead processes against its limit and closes each new one immediately.
+// Such a rejection was taken for a lost answer, and the next call opened another connection.
+func TestRejectedConnectionsPauseDialing(t *testing.T) {
+	rejecting := atomic.Bool{}
+	rejecting.Store(true)
 	s := newServer(t, func(_ int, c net.Conn) {
-		if over.Load() {
+		if rejecting.Load() {
 			return
 		}
-		answering(func(id string) string { return whole(id, "x") })(0, c)
+		respondWith(func(id string) string { return response(id, "x") })(0, c)
 	})
 	cl := newClient(t, s, 3)
 	if r := cl.call("1"); r.Result != scatter.Shut {
 		t.Fatalf("%v (%s)", r.Result, r.Detail)
 	}
-	cl.untilNoneOpen()
-	if ahead := cl.pools.Ahead(time.Now(), []*catalog.Upstream{cl.up}); ahead[0] != shutAhead {
-		t.Errorf("%v answers ahead of an upstream that lets nothing in", ahead[0])
+	cl.waitAllClosed()
+	if ahead := cl.pools.Ahead(time.Now(), []*catalog.Upstream{cl.up}); ahead[0] != rejectedAhead {
+		t.Errorf("%v answers ahead for an upstream that rejects connections", ahead[0])
 	}
 	if r := cl.call("2"); r.Result != scatter.NoConnection || s.connections() != 1 {
-		t.Errorf("%v (%s) just after, %d connections opened", r.Result, r.Detail, s.connections())
+		t.Errorf("%v (%s) during the pause, %d connections opened", r.Result, r.Detail, s.connections())
 	}
-	over.Store(false)
-	time.Sleep(shutPause)
+	rejecting.Store(false)
+	time.Sleep(rejectPause)
 	if r := cl.call("3"); r.Result != scatter.Answered {
-		t.Errorf("%v (%s) once the pause is over", r.Result, r.Detail)
+		t.Errorf("%v (%s) after the pause", r.Result, r.Detail)
 	}
 }
 
-// Symptom: calls that wait for a moment are given back, as if their upstream were silent.
-// Sequence: nobody has called for a while; then two calls come, and the second waits for the
-// first one's connection.
-// Cause: the time in which nobody had called was counted.
-func TestATimeWithoutCallsIsNoSilence(t *testing.T) {
+// Guards against calls that fail after a short wait as if their upstream had stalled: after a
+// time without calls two arrive, and the second waits for the first one's connection. The
+// time without calls was counted as time without progress.
+func TestTimeWithoutCallsIsNoStall(t *testing.T) {
 	release := make(chan struct{})
-	s := newServer(t, answering(func(id string) string {
+	s := newServer(t, respondWith(func(id string) string {
 		if id != "before" {
 			<-release
 		}
-		return whole(id, "x")
+		return response(id, "x")
 	}))
 	c := newClient(t, s, 1)
 	c.call("before")
-	c.untilIdle()
+	c.waitIdle()
 	pool := c.pools.all()[0]
 	pool.mu.Lock()
-	pool.movedAt = time.Now().Add(-time.Hour)
+	pool.lastProgress = time.Now().Add(-time.Hour)
 	pool.mu.Unlock()
 	_, sent := c.begin("sent", nil, 0)
 	_, waiting := c.begin("waiting", nil, 0)
@@ -524,17 +524,16 @@
 	close(release)
 	for _, done := range []<-chan Reply{sent, waiting} {
 		if r := c.wait(done); r.Result != scatter.Answered {
-			t.Errorf("ended as %v: %s", r.Result, r.Detail)
+			t.Errorf("result %v: %s", r.Result, r.Detail)
 		}
 	}
 }
 
-// Symptom: a request that may run but once ends at its deadline with one send that was
-// never written, though other upstreams of its service were free.
-// Sequence: an upstream goes silent with requests under way on all connections that this VM
-// may have to it; another request has been given to it and waits for one of them.
-// Cause: a connection gets free with an answer or an end, and neither comes.
-func TestCallsThatWaitForASilentUpstreamAreGivenBack(t *testing.T) {
+// Guards against a non-idempotent request that reaches its deadline with one send that was
+// never written, although other upstreams of its service were free. The upstream stops
+// responding with requests in flight on all connections that this VM may have to it. The next
+// call waits for a connection, which becomes free only with a response or a close.
+func TestCallsWaitingForStalledUpstreamFail(t *testing.T) {
 	silent := newServer(t, func(_ int, c net.Conn) {
 		_, _ = io.Copy(io.Discard, c)
 	})
@@ -544,22 +543,22 @@
 	c.pools.Expire(time.Now())
 	select {
 	case r := <-waiting:
-		t.Fatalf("given back at once: %+v", r)
+		t.Fatalf("the waiting call fails immediately: %+v", r)
 	default:
 	}
-	c.pools.Expire(time.Now().Add(stuckAfter))
+	c.pools.Expire(time.Now().Add(stallTimeout))
 	if r := c.wait(waiting); r.Result != scatter.NoConnection || !r.Result.NotRun() {
-		t.Errorf("the call that waits ends as %+v", r)
+		t.Errorf("the waiting call ends with %+v", r)
 	}
 	select {
 	case r := <-sent:
-		t.Errorf("the call that was sent ends as %+v", r)
+		t.Errorf("the call in flight ends with %+v", r)
 	default:
 	}
 }
 
-// Each row is how a pool is used and what a further call would wait for.
-func TestAheadCountsTheAnswersToWaitFor(t *testing.T) {
+// Each case is the state of a pool and the answers per connection ahead of one more call.
+func TestAnswersAhead(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
 		name string
@@ -568,19 +567,19 @@
 	}{
 		{"an idle connection", &Pool{limit: 1, open: 1, idle: []*conn{{}}}, 0},
 		{"one may be opened", &Pool{limit: 2, open: 1}, 0},
-		{"both are out", &Pool{limit: 2, open: 2}, 0.5},
-		{"and some wait", &Pool{limit: 2, open: 2, waiting: make([]*Call, 3)}, 2},
-		{"shut out, with one", &Pool{limit: 2, open: 1, shutUntil: now.Add(time.Second)}, 1},
-		{"shut out, with none", &Pool{limit: 2, shutUntil: now.Add(time.Second)}, shutAhead},
+		{"all in use", &Pool{limit: 2, open: 2}, 0.5},
+		{"all in use, three calls waiting", &Pool{limit: 2, open: 2, waiting: make([]*Call, 3)}, 2},
+		{"rejected, one open", &Pool{limit: 2, open: 1, rejectedUntil: now.Add(time.Second)}, 1},
+		{"rejected, none open", &Pool{limit: 2, rejectedUntil: now.Add(time.Second)}, rejectedAhead},
 	} {
-		if got := c.pool.ahead(now); got != c.want {
+		if got := c.pool.answersAhead(now); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-func TestAnAddressThatRefusesWasNotReached(t *testing.T) {
-	s := newServer(t, answering(func(id string) string { return whole(id, "x") }))
+func TestRefusedDialIsUnreached(t *testing.T) {
+	s := newServer(t, respondWith(func(id string) string { return response(id, "x") }))
 	cl := newClient(t, s, 1)
 	s.ln.Close()
 	if r := cl.call("1"); r.Result != scatter.Unreached {
@@ -588,14 +587,13 @@
 	}
 }
 
-// Symptom: upstreams work for callers that have left.
-// Sequence: the caller closes; its call goes on until the upstream has answered.
-// Cause: nobody closed the connection to the upstream.
-func TestWithdrawingClosesTheConnection(t *testing.T) {
+// Guards against upstreams that work for callers that have disconnected: without closing the
+// connection to the upstream, a withdrawn call runs there to its end.
+func TestWithdrawClosesConnection(t *testing.T) {
 	arrived, ended := make(chan bool), make(chan bool)
 	s := newServer(t, func(_ int, c net.Conn) {
 		br := bufio.NewReader(c)
-		read(br)
+		readID(br)
 		arrived <- true
 		if _, err := br.ReadByte(); err != nil {
 			ended <- true
@@ -607,21 +605,20 @@
 	call.Withdraw()
 	select {
 	case <-ended:
-	case <-time.After(patience):
-		t.Fatal("the upstream still has its connection")
+	case <-time.After(testTimeout):
+		t.Fatal("the connection to the upstream stays open")
 	}
 	select {
 	case r := <-done:
-		t.Errorf("a reply after the withdrawal: %v", r.Result)
+		t.Errorf("reply after Withdraw: %v", r.Result)
 	default:
 	}
 }
 
-// Symptom: an upstream takes a request for the rest of an earlier one's body.
-// Sequence: it answers before it has read a long body, keeps the connection and
-// reads on; the next request is written there.
-// Cause: the connection was used again before the body was out.
-func TestAnEarlyAnswerToALongBodyEndsTheConnection(t *testing.T) {
+// Guards against an upstream that reads a request as the rest of an earlier request's body:
+// it responds before it has read a long body and keeps the connection open. The connection
+// must not be reused before the whole body is written.
+func TestEarlyResponseToLongBodyClosesConnection(t *testing.T) {
 	s := newServer(t, func(_ int, c net.Conn) {
 		br := bufio.NewReader(c)
 		for {
@@ -635,10 +632,10 @@
 			}
 			_, id, _ := strings.Cut(head, "Id: ")
 			id, _, _ = strings.Cut(id, "\r\n")
-			fmt.Fprint(c, whole(id, "early"))
+			fmt.Fprint(c, response(id, "early"))
 			if !strings.Contains(head, "Content-Length: 0") {
-				// The rest stays unread; the connection stays open.
-				time.Sleep(patience)
+				// Leave the body unread and the connection open.
+				time.Sleep(testTimeout)
 			}
 		}
 	})
@@ -652,15 +649,15 @@
 	}
 }
 
-// Guards against calls that waited for a connection and go to an upstream that may not be
-// given them any more.
-func TestCallsThatAreBarredMeanwhileAreNotSent(t *testing.T) {
+// Guards against sending a call to an upstream that is barred while the call waits for a
+// connection.
+func TestCallsBarredWhileWaitingAreNotSent(t *testing.T) {
 	release := make(chan struct{})
 	var arrived atomic.Int64
-	s := newServer(t, answering(func(id string) string {
+	s := newServer(t, respondWith(func(id string) string {
 		arrived.Add(1)
 		<-release
-		return whole(id, "x")
+		return response(id, "x")
 	}))
 	c := newClient(t, s, 1)
 	_, first := c.begin("first", nil, 0)
@@ -685,17 +682,17 @@
 		t.Errorf("%d calls arrived", n)
 	}
 	if r := c.call("third"); r.Result != scatter.Answered {
-		t.Errorf("the connection is of no more use: %v", r.Result)
+		t.Errorf("the connection is not reused: %v", r.Result)
 	}
 }
 
-// Guards against calls to a process that has started again unnoticed: no connection was open
-// that could end, and the first one leads to the new process, which is cold.
-func TestNewConnectionsAskForHealthFirst(t *testing.T) {
+// Guards against calls to a process whose restart was not detected: no connection was open
+// whose close would show it, and the first new one leads to the new process, which is cold.
+func TestNewConnectionsCheckHealthFirst(t *testing.T) {
 	for _, c := range []struct {
 		name, id string
 		want     scatter.Result
-	}{{"the upstream's own answer", "u", scatter.Answered}, {"another's answer", "other", scatter.Barred}} {
+	}{{"response of the upstream", "u", scatter.Answered}, {"response of another upstream", "other", scatter.Barred}} {
 		var healths, calls, answered atomic.Int64
 		s := newServer(t, func(_ int, nc net.Conn) {
 			br := bufio.NewReader(nc)
@@ -708,13 +705,13 @@
 				} else {
 					calls.Add(1)
 				}
-				if _, err := nc.Write([]byte(whole(id, "x"))); err != nil {
+				if _, err := nc.Write([]byte(response(id, "x"))); err != nil {
 					return
 				}
 			}
 		})
 		cl := newClient(t, s, 1)
-		cl.pools = NewPools(plain{}, asking{answered: &answered}, func(string) int { return 1 })
+		cl.pools = NewPools(idProtocol{}, healthObserver{answered: &answered}, func(string) int { return 1 })
 		t.Cleanup(cl.pools.Close)
 		if r := cl.call("first"); r.Result != c.want {
 			t.Errorf("%s: %v %s", c.name, r.Result, r.Detail)
@@ -723,13 +720,13 @@
 			cl.call("second")
 		}
 		if healths.Load() != 1 || calls.Load() != 2*answered.Load() {
-			t.Errorf("%s: %d questions, %d calls, %d answers taken in", c.name, healths.Load(), calls.Load(), answered.Load())
+			t.Errorf("%s: %d health checks, %d calls, %d successful checks observed", c.name, healths.Load(), calls.Load(), answered.Load())
 		}
 	}
 }
 
-func TestCallsWithoutTimeAreNotSent(t *testing.T) {
-	s := newServer(t, answering(func(id string) string { return whole(id, "x") }))
+func TestExpiredCallsAreNotSent(t *testing.T) {
+	s := newServer(t, respondWith(func(id string) string { return response(id, "x") }))
 	cl := newClient(t, s, 1)
 	done := make(chan Reply, 1)
 	cl.call("warm")
@@ -741,11 +738,11 @@
 
 func TestKeepAlive(t *testing.T) {
 	for text, want := range map[string]time.Duration{
-		"":                    idleDefault,
+		"":                    defaultIdleTimeout,
 		"timeout=10":          10*time.Second - idleMargin,
 		"max=5, timeout=2":    2*time.Second - idleMargin,
 		"timeout=0":           0,
-		"timeout=x":           idleDefault,
+		"timeout=x":           defaultIdleTimeout,
 		" Timeout=3 , max=1 ": 3*time.Second - idleMargin,
 	} {
 		var resp fasthttp.Response
@@ -756,13 +753,13 @@
 	}
 }
 
-func TestPoolsOfUpstreamsThatAreGoneClose(t *testing.T) {
-	s := newServer(t, answering(func(id string) string { return whole(id, "x") }))
+func TestPoolsOfRemovedUpstreamsClose(t *testing.T) {
+	s := newServer(t, respondWith(func(id string) string { return response(id, "x") }))
 	cl := newClient(t, s, 1)
 	cl.call("1")
 	cl.pools.Keep(map[string]*catalog.Upstream{})
 	if n := cl.pools.Opened(); n != 0 {
-		t.Errorf("%d connections of an upstream that is gone are counted", n)
+		t.Errorf("%d connections of a removed upstream are counted", n)
 	}
 }
 
@@ -778,15 +775,15 @@
 			if err != nil {
 				return
 			}
-			go answering(func(id string) string { return whole(id, "x") })(0, c)
+			go respondWith(func(id string) string { return response(id, "x") })(0, c)
 		}
 	}()
-	pools := NewPools(plain{}, nobody{}, func(string) int { return 4 })
+	pools := NewPools(idProtocol{}, nopObserver{}, func(string) int { return 4 })
 	up := &catalog.Upstream{ID: "u", Address: ln.Addr().String()}
 	done := make(chan Reply, 1)
 	b.ReportAllocs()
 	for b.Loop() {
-		pools.Do(&Call{Message: &Message{ID: "1"}, Upstream: up, Deadline: time.Now().Add(patience), Done: func(r Reply) { done <- r }})
+		pools.Do(&Call{Message: &Message{ID: "1"}, Upstream: up, Deadline: time.Now().Add(testTimeout), Done: func(r Reply) { done <- r }})
 		<-done
 	}
 }
--- a/internal/direct/health.go
+++ b/internal/direct/health.go
@@ -12,19 +12,20 @@
 	"sycamorekeel.example/sycamorekeel/internal/traffic"
 )
 
-// healthTimeout bounds a call to a health path: ten round trips between regions.
+// healthTimeout limits a health check, after the connection is open: ten round trips
+// between regions. It also limits the dial of CheckHealth.
 const healthTimeout = 300 * time.Millisecond
 
-// Health is what an upstream says of itself.
+// Health is an upstream's response to a health check.
 type Health struct {
-	// Upstream is the id of the process that answered.
+	// Upstream is the id of the upstream that responded.
 	Upstream string
-	// ColdFor is how much longer it is cold.
+	// ColdFor is the remaining time until the upstream is warm; 0 when it is.
 	ColdFor time.Duration
 }
 
-// CheckHealth asks an upstream's health path over a connection of its own, and tells the
-// observer how that ended.
+// CheckHealth checks an upstream's health over a new connection and passes the result to
+// the observer.
 func (p *Pools) CheckHealth(u *catalog.Upstream, path string) {
 	begun := time.Now()
 	h, err := p.dialHealth(u, path)
@@ -36,16 +37,17 @@
 	if err != nil {
 		return Health{}, trace.Wrap(err)
 	}
-	// It carries one call.
+	// The connection carries only this health check.
 	defer nc.Close()
 	p.observer.Opened(u)
 	counted := traffic.CountConn(nc, func(n int) { p.observer.HealthBytes(u, n) })
-	return askHealth(counted, bufio.NewReader(counted), p.protocol, u, path)
+	return requestHealth(counted, bufio.NewReader(counted), p.protocol, u, path)
 }
 
-// askHealth asks for an upstream's health over a connection. An answer of another upstream,
-// which has the address by now, is an error, and so is one after which the connection ends.
-func askHealth(nc net.Conn, br *bufio.Reader, protocol Protocol, u *catalog.Upstream, path string) (Health, error) {
+// requestHealth performs a health check over an open connection. A response of another
+// upstream, which has taken over the address, is an error, and so is a response that
+// closes the connection.
+func requestHealth(nc net.Conn, br *bufio.Reader, protocol Protocol, u *catalog.Upstream, path string) (Health, error) {
 	if err := nc.SetDeadline(time.Now().Add(healthTimeout)); err != nil {
 		return Health{}, trace.Wrap(err)
 	}
@@ -60,25 +62,26 @@
 		return Health{}, trace.Wrap(err)
 	}
 	if resp.ConnectionClose() {
-		return Health{}, trace.ConnectionProblem(nil, "the upstream ends the connection")
+		return Health{}, trace.ConnectionProblem(nil, "upstream %q closes the connection after its health response", u.ID)
 	}
 	h, err := protocol.DecodeHealth(&resp)
 	if err == nil && h.Upstream != u.ID {
-		err = trace.NotFound("the address is %s's by now", h.Upstream)
+		err = trace.NotFound("address %s belongs to upstream %q, not %q", u.Address, h.Upstream, u.ID)
 	}
 	return h, trace.Wrap(err)
 }
 
-// greet asks the upstream for its health before the first call, where that is to be known of
-// each connection: only so is it certain which process it leads to.
-func (c *conn) greet(nc net.Conn) error {
+// checkHealth checks the upstream's health before the first call of a connection, if the
+// observer names a health path. Only the response shows which process the connection
+// leads to.
+func (c *conn) checkHealth(nc net.Conn) error {
 	u, observer := c.pool.upstream, c.pool.observer
 	path := observer.HealthPath(u)
 	if path == "" {
 		return nil
 	}
 	begun := time.Now()
-	h, err := askHealth(nc, c.br, c.pool.protocol, u, path)
+	h, err := requestHealth(nc, c.br, c.pool.protocol, u, path)
 	observer.HealthBytes(u, int(c.bytes.Swap(0)))
 	observer.HealthAnswered(u, begun, h, err)
 	return trace.Wrap(err)
--- a/internal/direct/pool.go
+++ b/internal/direct/pool.go
@@ -11,32 +11,34 @@
 	"sycamorekeel.example/sycamorekeel/internal/scatter"
 )
 
-// maxWaiting bounds the calls that wait for a connection to one upstream. What
-// waits behind more than that would not be in time.
+// maxWaiting limits the calls that wait for a connection to one upstream. A call
+// behind that many others would miss its deadline.
 const maxWaiting = 64
 
-// shutPause is how long no connection is opened after the upstream has closed one
-// at once. Without it each waiting call would try the same: an upstream that
-// counts the connections of processes that are gone, as after a loss of power,
-// would close hundreds, and as many calls lose a round trip. Those that wait have
-// about two answers of the connections that are open in that time.
-const shutPause = 100 * time.Millisecond
-
-// stuckAfter is how long nothing may come of an upstream until the calls that wait for a
-// connection to it are given back: several pauses as upstreams make them. A call that has
-// not been sent has not run, so that another upstream may have it whatever its kind. Left
-// to wait, a request that may run but once stays with an upstream that has gone silent until
-// its deadline: one notices requests that end as timed_out with one send and no time
-// in connect.
-const stuckAfter = time.Second
-
-// stuckUsual is how many times its usual time an upstream may be silent at least.
-const stuckUsual = 4
-
-// usualOf is how many answers the usual time of a pool is about the mean of.
-const usualOf = 8
-
-// Pool is the connections to one start of an upstream.
+// rejectPause is how long the pool opens no connection after the upstream has
+// rejected one. Without the pause every waiting call would dial: an upstream that
+// still counts the connections of dead processes, as after a power failure, would
+// close hundreds of connections, and each of these calls would lose a round trip. The
+// open connections deliver about two answers each during the pause.
+const rejectPause = 100 * time.Millisecond
+
+// stallTimeout is how long an upstream may make no progress before the calls that wait for
+// a connection to it are failed; it covers several of the usual pauses of an upstream. A
+// waiting call has not been sent and so has not run: any request, also a non-idempotent
+// one, may then go to another upstream. Without the limit a non-idempotent request would
+// wait for a silent upstream until its deadline. The symptom is requests that end as
+// timed_out with one send and no time in connect.
+const stallTimeout = time.Second
+
+// stallFactor is how many mean latencies an upstream may make no progress, if that is
+// longer than stallTimeout.
+const stallFactor = 4
+
+// latencyWindow is the approximate number of responses in a pool's moving mean latency.
+const latencyWindow = 8
+
+// Pool holds the connections to one upstream process. A restarted upstream gets a new
+// pool.
 type Pool struct {
 	upstream *catalog.Upstream
 	protocol Protocol
@@ -44,32 +46,32 @@
 
 	mu    sync.Mutex
 	limit int
-	// window is how many connections may be in use at a time, 0 for all.
-	window  int
-	open    int
-	opened  uint64
-	idle    []*conn
-	waiting []*Call
-	closed  bool
-	// sockets holds the open connections. abandoned says that they were closed, as the
-	// upstream has started again.
+	// window limits the connections in use at the same time, 0 for no limit.
+	window      int
+	open        int
+	openedTotal uint64
+	idle        []*conn
+	waiting     []*Call
+	closed      bool
+	// sockets holds the open connections. abandoned is set when they are closed because
+	// the upstream has restarted.
 	sockets   map[net.Conn]bool
 	abandoned bool
-	// usual is about how long answers take.
-	usual time.Duration
-	// movedAt is when something last came of a connection, or when the first one of those
-	// in use got its call.
-	movedAt time.Time
-	// shutUntil is when a connection may be opened again after one was shut out.
-	shutUntil time.Time
-	checked   check
+	// meanLatency is the moving mean of the response times.
+	meanLatency time.Duration
+	// lastProgress is when a connection last delivered a response or ended, or when a call
+	// arrived while no connection was in use.
+	lastProgress time.Time
+	// rejectedUntil is when the next connection may be opened after one was rejected.
+	rejectedUntil time.Time
+	process       processCheck
 }
 
 func newPool(u *catalog.Upstream, protocol Protocol, observer Observer, limit int) *Pool {
 	return &Pool{upstream: u, protocol: protocol, observer: observer, limit: limit, sockets: map[net.Conn]bool{}}
 }
 
-// do gives the call to an idle connection, opens one, or lets it wait.
+// do sends the call on an idle connection, opens a connection for it or queues it.
 func (p *Pool) do(call *Call) {
 	now := time.Now()
 	p.mu.Lock()
@@ -77,75 +79,77 @@
 	var dead []*conn
 	switch {
 	case p.closed:
-		refused = Reply{Result: scatter.Unreached, Detail: goneUpstream}
+		refused = Reply{Result: scatter.Unreached, Detail: detailUpstreamGone}
 	case p.open == 0 && !p.mayOpen(now), len(p.waiting) >= maxWaiting:
-		refused = Reply{Result: scatter.NoConnection, Detail: noneFree}
+		refused = Reply{Result: scatter.NoConnection, Detail: detailNoConnection}
 	default:
 		if p.busy() == 0 {
-			p.movedAt = now
+			p.lastProgress = now
 		}
 		p.enqueue(call)
 		dead = p.dispatch(now)
 		if slices.Contains(p.waiting, call) {
-			call.queued(now)
+			call.markQueued(now)
 		}
 	}
 	p.mu.Unlock()
-	endAll(dead)
+	endConns(dead)
 	if refused.Detail != "" {
 		call.finish(refused)
 	}
 }
 
-// dispatch hands waiting calls to connections as long as there are both, and gives
-// the idle connections that are to be ended. The caller holds mu.
+// dispatch assigns waiting calls to connections while both are available. It returns
+// the unusable idle connections, which the caller must end. The caller holds mu.
 func (p *Pool) dispatch(now time.Time) (dead []*conn) {
-	for len(p.waiting) > 0 && p.hasRoom() {
-		c, useless := p.takeIdle(now)
-		dead = append(dead, useless...)
+	for len(p.waiting) > 0 && p.belowWindow() {
+		c, unusable := p.takeIdle(now)
+		dead = append(dead, unusable...)
 		if c == nil && !p.mayOpen(now) {
 			return dead
 		}
-		call := p.takeWaiting(now)
+		call := p.nextWaiting(now)
 		switch {
 		case call == nil && c != nil:
 			p.idle = append(p.idle, c)
 		case call == nil:
 		case c != nil:
-			c.work <- call
+			c.calls <- call
 		default:
-			p.start(call)
+			p.openConn(call)
 		}
 	}
 	return dead
 }
 
-// hasRoom tells whether one more connection may be in use. The caller holds mu.
-func (p *Pool) hasRoom() bool { return p.window == 0 || p.busy() < p.window }
+// belowWindow reports whether the window admits one more connection in use. The caller
+// holds mu.
+func (p *Pool) belowWindow() bool { return p.window == 0 || p.busy() < p.window }
 
-// busy is how many connections are in use. The caller holds mu.
+// busy returns the number of connections in use. The caller holds mu.
 func (p *Pool) busy() int { return p.open - len(p.idle) }
 
-// mayOpen tells whether one more connection may be opened. The caller holds mu.
+// mayOpen reports whether one more connection may be opened. The caller holds mu.
 func (p *Pool) mayOpen(now time.Time) bool {
-	return p.open < p.limit && !now.Before(p.shutUntil)
+	return p.open < p.limit && !now.Before(p.rejectedUntil)
 }
 
-// start opens a connection for a call. The caller holds mu.
-func (p *Pool) start(call *Call) {
+// openConn opens a connection for a call. The caller holds mu.
+func (p *Pool) openConn(call *Call) {
 	p.open++
-	p.opened++
-	go (&conn{pool: p, work: make(chan *Call, 1)}).run(call)
+	p.openedTotal++
+	go (&conn{pool: p, calls: make(chan *Call, 1)}).run(call)
 }
 
-// shut notes that the upstream has closed a connection as soon as it was open.
-func (p *Pool) shut(now time.Time) {
+// connRejected records that the upstream closed a connection as soon as it was open.
+func (p *Pool) connRejected(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.shutUntil = now.Add(shutPause)
+	p.rejectedUntil = now.Add(rejectPause)
 }
 
-// enqueue keeps the waiting calls in order of priority, then of arrival.
+// enqueue inserts a waiting call in the order of priority, then of arrival. The caller
+// holds mu.
 func (p *Pool) enqueue(call *Call) {
 	i, _ := slices.BinarySearchFunc(p.waiting, call, func(a, b *Call) int {
 		if a.Priority <= b.Priority {
@@ -156,8 +160,8 @@
 	p.waiting = slices.Insert(p.waiting, i, call)
 }
 
-// takeIdle is the idle connection used last that can still be used; those that
-// cannot are given back to be ended. The caller holds mu.
+// takeIdle removes and returns the most recently used idle connection that is still
+// usable, nil without one, and the unusable ones that it removed. The caller holds mu.
 func (p *Pool) takeIdle(now time.Time) (found *conn, dead []*conn) {
 	for len(p.idle) > 0 && found == nil {
 		c := p.idle[len(p.idle)-1]
@@ -171,14 +175,15 @@
 	return found, dead
 }
 
-func endAll(conns []*conn) {
+// endConns makes the goroutines of idle connections close them and return.
+func endConns(conns []*conn) {
 	for _, c := range conns {
-		close(c.work)
+		close(c.calls)
 	}
 }
 
-// next is the connection's next call: one that waits, or one that comes later.
-// It is nil when the connection is to end.
+// next blocks until there is a call for the connection and returns it. It returns nil
+// when the connection must close.
 func (p *Pool) next(c *conn) *Call {
 	now := time.Now()
 	p.mu.Lock()
@@ -189,36 +194,36 @@
 	p.idle = append(p.idle, c)
 	dead := p.dispatch(now)
 	p.mu.Unlock()
-	endAll(dead)
-	return <-c.work
+	endConns(dead)
+	return <-c.calls
 }
 
-// takeWaiting takes the first waiting call that can still be in time, else the
-// first that is still wanted; those that are not are dropped. Under more load than
-// the upstream carries, in the order of arrival each would get its turn when it is
-// late already. The caller holds mu.
-func (p *Pool) takeWaiting(now time.Time) *Call {
+// nextWaiting removes and returns the first waiting call that can still meet its soft
+// deadline, otherwise the first waiting call. It drops withdrawn calls and returns nil
+// when none is left. If an overloaded upstream served calls strictly in the order of
+// arrival, each call would be late by the time it is sent. The caller holds mu.
+func (p *Pool) nextWaiting(now time.Time) *Call {
 	p.waiting = slices.DeleteFunc(p.waiting, (*Call).isWithdrawn)
 	if len(p.waiting) == 0 {
 		return nil
 	}
-	inTime := func(c *Call) bool { return c.AnswerBy.IsZero() || now.Add(p.usual).Before(c.AnswerBy) }
+	inTime := func(c *Call) bool { return c.AnswerBy.IsZero() || now.Add(p.meanLatency).Before(c.AnswerBy) }
 	i := max(0, slices.IndexFunc(p.waiting, inTime))
 	call := p.waiting[i]
 	p.waiting = slices.Delete(p.waiting, i, i+1)
-	call.dequeued(now)
+	call.markDequeued(now)
 	return call
 }
 
-// ended takes note that a connection is gone and opens one for a waiting call.
-// Without any connection left, and none to be opened yet, nothing would ever take
-// those that wait: they are given back.
-func (p *Pool) ended(c *conn) {
+// connEnded removes a closed connection and opens one for a waiting call. If no
+// connection is open and none may be opened yet, nothing would ever serve the waiting
+// calls: they fail.
+func (p *Pool) connEnded(c *conn) {
 	now := time.Now()
 	p.mu.Lock()
 	p.open--
-	p.movedAt = now
-	delete(p.sockets, c.net)
+	p.lastProgress = now
+	delete(p.sockets, c.netConn)
 	var stranded []*Call
 	var dead []*conn
 	if !p.closed {
@@ -229,58 +234,59 @@
 		}
 	}
 	p.mu.Unlock()
-	endAll(dead)
-	finishAll(stranded, Reply{Result: scatter.NoConnection, Detail: noneFree})
+	endConns(dead)
+	finishAll(stranded, Reply{Result: scatter.NoConnection, Detail: detailNoConnection})
 }
 
-// setWindow bounds how many connections are in use at a time; 0 is no bound.
+// setWindow limits the connections in use at the same time; 0 removes the limit.
 func (p *Pool) setWindow(n int) {
 	now := time.Now()
 	p.mu.Lock()
 	p.window = n
 	dead := p.dispatch(now)
 	p.mu.Unlock()
-	endAll(dead)
+	endConns(dead)
 }
 
-// answered takes in how long an answer took.
-func (p *Pool) answered(took time.Duration) {
+// observeLatency updates the mean latency with the duration of a response.
+func (p *Pool) observeLatency(took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.usual += (took - p.usual) / usualOf
-	p.movedAt = time.Now()
+	p.meanLatency += (took - p.meanLatency) / latencyWindow
+	p.lastProgress = time.Now()
 }
 
-// unstick gives back the calls that wait for a connection to an upstream of which nothing
-// has come for long.
-func (p *Pool) unstick(now time.Time) {
+// failStalled fails the waiting calls if the upstream has made no progress for
+// stallTimeout and for stallFactor mean latencies.
+func (p *Pool) failStalled(now time.Time) {
 	p.mu.Lock()
-	var stuck []*Call
-	if now.Sub(p.movedAt) >= max(stuckAfter, stuckUsual*p.usual) {
-		stuck = p.waiting
+	var stalled []*Call
+	if now.Sub(p.lastProgress) >= max(stallTimeout, stallFactor*p.meanLatency) {
+		stalled = p.waiting
 		p.waiting = nil
 	}
 	p.mu.Unlock()
-	finishAll(stuck, Reply{Result: scatter.NoConnection, Detail: nothingComes})
+	finishAll(stalled, Reply{Result: scatter.NoConnection, Detail: detailStalled})
 }
 
-// Details of calls that no connection takes.
+// Details of calls that were not sent.
 const (
-	noneFree     = "no free connection"
-	nothingComes = "no connection gets free"
-	goneUpstream = "upstream is gone"
+	detailNoConnection = "no free connection"
+	detailStalled      = "no connection gets free"
+	detailUpstreamGone = "upstream is gone"
 )
 
+// finishAll delivers the same reply to several calls.
 func finishAll(calls []*Call, reply Reply) {
 	for _, c := range calls {
 		c.finish(reply)
 	}
 }
 
-// refuse ends a call whose connection could not be opened, and those that wait
-// behind it while no other connection is open: they would fail the same way, one
-// dial after the other.
-func (p *Pool) refuse(call *Call, err error) {
+// dialFailed fails a call whose connection could not be opened. If no other connection
+// is open it also fails all waiting calls: they would fail the same way, one dial after
+// the other.
+func (p *Pool) dialFailed(call *Call, err error) {
 	p.observer.Ended(p.upstream)
 	p.mu.Lock()
 	var others []*Call
@@ -289,15 +295,15 @@
 		p.waiting = nil
 	}
 	p.mu.Unlock()
-	reply := Reply{Result: scatter.Unreached, Detail: dialDetail + err.Error()}
+	reply := Reply{Result: scatter.Unreached, Detail: detailDialPrefix + err.Error()}
 	call.finish(reply)
 	finishAll(others, reply)
 }
 
-// dialDetail begins the detail of calls whose connection could not be opened.
-const dialDetail = "dial: "
+// detailDialPrefix starts the detail of calls whose connection could not be opened.
+const detailDialPrefix = "dial: "
 
-// expire ends idle connections that cannot be used any more.
+// expire ends the idle connections that are no longer usable.
 func (p *Pool) expire(now time.Time) {
 	p.mu.Lock()
 	var dead []*conn
@@ -309,10 +315,11 @@
 		return true
 	})
 	p.mu.Unlock()
-	endAll(dead)
+	endConns(dead)
 }
 
-// close ends the idle connections and lets the busy ones finish.
+// close ends the idle connections and fails the waiting calls; connections in use end
+// after their call.
 func (p *Pool) close() {
 	p.mu.Lock()
 	p.closed = true
@@ -320,13 +327,13 @@
 	waiting := p.waiting
 	p.idle, p.waiting = nil, nil
 	p.mu.Unlock()
-	endAll(idle)
-	finishAll(waiting, Reply{Result: scatter.Unreached, Detail: goneUpstream})
+	endConns(idle)
+	finishAll(waiting, Reply{Result: scatter.Unreached, Detail: detailUpstreamGone})
 }
 
-// abandon closes the pool of a process that is over. What is under way there may have run
-// and gets no answer any more: behind a partition not even a reset would tell, and callers
-// wait for it until their deadline.
+// abandon closes the pool of a process that has ended, including the connections in use.
+// Calls in flight may have run and will get no response. Behind a network partition not
+// even a reset arrives, and callers would wait until their deadline.
 func (p *Pool) abandon() {
 	p.mu.Lock()
 	p.abandoned = true
@@ -334,20 +341,21 @@
 	p.mu.Unlock()
 	p.close()
 	for _, s := range sockets {
-		// An error means that it is closed already.
+		// Fails only when the socket is already closed.
 		_ = s.Close()
 	}
-	p.startedAgain(time.Now())
+	p.reportRestart(time.Now())
 }
 
-// serves tells whether what is meant for a registration may go to this pool: its own, or
-// an earlier one of the same place.
-func (p *Pool) serves(u *catalog.Upstream) bool {
+// accepts reports whether calls to a registration may use this pool: the pool's own
+// registration, or an earlier one with the same address and service.
+func (p *Pool) accepts(u *catalog.Upstream) bool {
 	return !p.upstream.StartedAfter(u) || p.upstream.Address == u.Address && p.upstream.Service == u.Service
 }
 
-// opens takes in a socket; false when the pool was abandoned meanwhile.
-func (p *Pool) opens(s net.Conn) bool {
+// registerSocket adds an open socket. It returns false when the pool was abandoned during
+// the dial.
+func (p *Pool) registerSocket(s net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.abandoned {
@@ -369,20 +377,20 @@
 	p.limit = n
 }
 
-// shutAhead stands for the wait for an upstream that lets nothing in: it is
-// passed over while others answer within as many of their usual times.
-const shutAhead = 4.0
+// rejectedAhead is the value of answersAhead for an upstream that rejects connections: it
+// is passed over while other upstreams answer within that many of their usual latencies.
+const rejectedAhead = 4.0
 
-// ahead is how many answers must come before a further call gets a connection: 0
-// when one is free or may be opened.
-func (p *Pool) ahead(now time.Time) float64 {
+// answersAhead returns how many answers each connection in use must deliver before one
+// more call gets a connection; 0 when one is idle or may be opened.
+func (p *Pool) answersAhead(now time.Time) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case p.hasRoom() && (len(p.idle) > 0 || p.mayOpen(now)):
+	case p.belowWindow() && (len(p.idle) > 0 || p.mayOpen(now)):
 		return 0
 	case p.open == 0:
-		return shutAhead
+		return rejectedAhead
 	default:
 		return float64(len(p.waiting)+1) / float64(max(1, p.busy()))
 	}
--- a/internal/direct/pools.go
+++ b/internal/direct/pools.go
@@ -8,7 +8,7 @@
 	"sycamorekeel.example/sycamorekeel/internal/scatter"
 )
 
-// Pools is the connections to all upstreams.
+// Pools holds a connection pool for each upstream.
 type Pools struct {
 	protocol Protocol
 	observer Observer
@@ -18,32 +18,31 @@
 	pools map[string]*Pool
 }
 
-// Observer takes in what connections to upstreams cost and show.
+// Observer receives the connection events, traffic and health checks of upstreams.
 type Observer interface {
-	// Opened counts a connection.
+	// Opened counts an opened connection.
 	Opened(u *catalog.Upstream)
-	// Sent counts the bytes of a call, both ways.
+	// Sent counts the bytes of a call in both directions.
 	Sent(u *catalog.Upstream, extra bool, bytes int)
-	// Ended tells that the other end of a connection has ended it, or that none could be
-	// opened: the upstream may have started again. It is told before anything further is
-	// sent.
+	// Ended reports that the remote end closed a connection, or that a connection could not
+	// be opened: the upstream may have restarted. It is called before the next call is sent.
 	Ended(u *catalog.Upstream)
-	// HealthPath is what each new connection is to ask before its first call; empty for
-	// nothing.
+	// HealthPath returns the path that each new connection requests before its first call;
+	// "" skips the health check.
 	HealthPath(u *catalog.Upstream) string
-	// HealthAnswered takes in how a health check ended that was begun at a time.
+	// HealthAnswered receives the result of a health check that started at begun.
 	HealthAnswered(u *catalog.Upstream, begun time.Time, h Health, err error)
-	// HealthBytes counts the bytes of a health check, both ways.
+	// HealthBytes counts the bytes of a health check in both directions.
 	HealthBytes(u *catalog.Upstream, bytes int)
 }
 
-// NewPools has no connection. limit is how many this VM may have to one
-// upstream of a service.
+// NewPools returns pools without connections. limit returns the maximum number of
+// connections from this VM to one upstream of a service.
 func NewPools(protocol Protocol, observer Observer, limit func(service string) int) *Pools {
 	return &Pools{protocol: protocol, observer: observer, limit: limit, pools: map[string]*Pool{}}
 }
 
-// Do carries a call; its Done gets the reply.
+// Do sends a call without blocking; the reply goes to its Done function.
 func (p *Pools) Do(call *Call) {
 	u := call.Upstream
 	p.mu.Lock()
@@ -57,15 +56,15 @@
 	if former != nil {
 		former.abandon()
 	}
-	if !pool.serves(u) {
-		call.finish(Reply{Result: scatter.Unreached, Detail: goneUpstream})
+	if !pool.accepts(u) {
+		call.finish(Reply{Result: scatter.Unreached, Detail: detailUpstreamGone})
 		return
 	}
 	pool.do(call)
 }
 
-// Ahead is, for each upstream, how many answers must come from it before a
-// further call gets a connection: 0 when one is free or may be opened.
+// Ahead returns, for each upstream, how many answers each of its connections in use must
+// deliver before one more call gets a connection; 0 when one is idle or may be opened.
 func (p *Pools) Ahead(now time.Time, upstreams []*catalog.Upstream) []float64 {
 	pools := make([]*Pool, len(upstreams))
 	p.mu.Lock()
@@ -76,14 +75,14 @@
 	out := make([]float64, len(upstreams))
 	for i, pool := range pools {
 		if pool != nil {
-			out[i] = pool.ahead(now)
+			out[i] = pool.answersAhead(now)
 		}
 	}
 	return out
 }
 
-// SetWindow bounds how many requests are under way at an upstream from here; 0 is
-// no bound but that of connections. It means the start that the registration shows.
+// SetWindow limits the requests in flight from this VM to an upstream; 0 leaves only the
+// connection limit. It has no effect if the upstream has restarted after registration u.
 func (p *Pools) SetWindow(u *catalog.Upstream, n int) {
 	p.mu.Lock()
 	pool := p.pools[u.ID]
@@ -93,57 +92,60 @@
 	}
 }
 
-// Keep closes the pools of upstreams that are gone, abandons those of upstreams that have
-// started again, and brings the limits of the others up to date.
+// Keep replaces the set of known upstreams, by id. It closes the pools of removed
+// upstreams, abandons the pools of restarted ones and updates the connection limits of
+// the others.
 func (p *Pools) Keep(known map[string]*catalog.Upstream) {
 	p.mu.Lock()
-	var gone, former []*Pool
+	var removed, restarted []*Pool
 	for id, pool := range p.pools {
 		u := known[id]
 		switch {
 		case u == nil:
-			gone = append(gone, pool)
+			removed = append(removed, pool)
 			delete(p.pools, id)
 		case u.StartedAfter(pool.upstream):
-			former = append(former, pool)
+			restarted = append(restarted, pool)
 			delete(p.pools, id)
 		default:
 			pool.setLimit(p.limit(u.Service))
 		}
 	}
 	p.mu.Unlock()
-	for _, pool := range gone {
+	for _, pool := range removed {
 		pool.close()
-		if pool.hasUndecided() && taken(known, pool.upstream.Address) {
-			pool.startedAgain(time.Now())
+		if pool.hasRechecks() && addressInUse(known, pool.upstream.Address) {
+			pool.reportRestart(time.Now())
 		}
 	}
-	for _, pool := range former {
+	for _, pool := range restarted {
 		pool.abandon()
 	}
 }
 
-// Expire ends the idle connections that upstreams are about to close, and gives back the
-// calls that wait for upstreams which have gone silent.
+// Expire ends the idle connections that upstreams are about to close, and fails the calls
+// that wait for a connection to a stalled upstream. Call it periodically.
 func (p *Pools) Expire(now time.Time) {
 	for _, pool := range p.all() {
 		pool.expire(now)
-		pool.unstick(now)
+		pool.failStalled(now)
 	}
 }
 
-// Opened is how many connections were opened so far to present upstreams.
+// Opened returns the total number of connections opened by the current pools, that is, to
+// the current processes of known upstreams.
 func (p *Pools) Opened() uint64 {
 	var n uint64
 	for _, pool := range p.all() {
 		pool.mu.Lock()
-		n += pool.opened
+		n += pool.openedTotal
 		pool.mu.Unlock()
 	}
 	return n
 }
 
-// Close ends all idle connections; busy ones end with their call.
+// Close ends all idle connections and fails waiting calls; connections in use end after
+// their call.
 func (p *Pools) Close() {
 	for _, pool := range p.all() {
 		pool.close()
--- a/internal/direct/restart_test.go
+++ b/internal/direct/restart_test.go
@@ -10,7 +10,7 @@
 	"sycamorekeel.example/sycamorekeel/internal/scatter"
 )
 
-// restarted is the registration of a later start under the same id, at a server.
+// restarted returns the registration of a later start with the same id at server s.
 func restarted(u *catalog.Upstream, s *server) *catalog.Upstream {
 	next := *u
 	next.Born = u.Born.Add(time.Minute)
@@ -18,74 +18,73 @@
 	return &next
 }
 
-func (c *client) keep(u *catalog.Upstream) {
+// setUpstream makes u the only known upstream.
+func (c *client) setUpstream(u *catalog.Upstream) {
 	c.pools.Keep(map[string]*catalog.Upstream{u.ID: u})
 }
 
-// silent takes requests and answers none, as a process behind a cut does.
-func silent(arrived chan<- string) func(int, net.Conn) {
+// unresponsive takes requests and answers none, as a process behind a cut does.
+func unresponsive(arrived chan<- string) func(int, net.Conn) {
 	return func(_ int, c net.Conn) {
 		br := bufio.NewReader(c)
-		for id := read(br); id != ""; id = read(br) {
+		for id := readID(br); id != ""; id = readID(br) {
 			arrived <- id
 		}
 	}
 }
 
-// Symptom: requests wait until their deadline for an upstream that has long started again.
-// Sequence: the upstream is cut off and its process starts again behind the cut, under the
-// id it had; what was sent to the former process gets neither an answer nor a reset.
-// Cause: the connections were kept, as the id had not changed. What was sent may have run;
-// its process will not answer any more.
-func TestCallsUnderWayAtAFormerStartAreLost(t *testing.T) {
+// Guards against requests that wait until their deadline for an upstream that has restarted.
+// The process restarts behind a network partition with the same id; calls to the former
+// process get neither an answer nor a reset, and connections kept by id stay open. Such calls
+// may have run, so they are lost.
+func TestCallsInFlightToRestartedUpstreamAreLost(t *testing.T) {
 	arrived := make(chan string, 1)
-	former := newServer(t, silent(arrived))
-	next := newServer(t, answering(func(id string) string { return whole(id, "x") }))
+	former := newServer(t, unresponsive(arrived))
+	next := newServer(t, respondWith(func(id string) string { return response(id, "x") }))
 	cl := newClient(t, former, 1)
 	cl.up.Born = time.Unix(1000, 0)
-	_, under := cl.begin("1", nil, 0)
+	_, inFlight := cl.begin("1", nil, 0)
 	<-arrived
-	_, waits := cl.begin("2", nil, 0)
+	_, waiting := cl.begin("2", nil, 0)
 	cl.up = restarted(cl.up, next)
-	cl.keep(cl.up)
-	if r := cl.wait(under); r.Result != scatter.Lost {
-		t.Errorf("under way: %v, %s", r.Result, r.Detail)
+	cl.setUpstream(cl.up)
+	if r := cl.wait(inFlight); r.Result != scatter.Lost {
+		t.Errorf("in flight: %v, %s", r.Result, r.Detail)
 	}
-	if r := cl.wait(waits); r.Result != scatter.Unreached {
-		t.Errorf("unsent: %v, %s", r.Result, r.Detail)
+	if r := cl.wait(waiting); r.Result != scatter.Unreached {
+		t.Errorf("waiting: %v, %s", r.Result, r.Detail)
 	}
 	if r := cl.call("3"); r.Result != scatter.Answered || next.connections() != 1 {
-		t.Errorf("to the new start: %v, %s, over %d connections", r.Result, r.Detail, next.connections())
+		t.Errorf("to the restarted upstream: %v, %s, over %d connections", r.Result, r.Detail, next.connections())
 	}
 }
 
-// Symptom: the first request after an upstream has started again is lost.
-// Sequence: it goes out on an idle connection to the former process.
-// Cause: idle connections were kept under the id.
-func TestIdleConnectionsToAFormerStartAreNotUsed(t *testing.T) {
-	former := newServer(t, answering(func(id string) string { return whole(id, "former") }))
-	next := newServer(t, answering(func(id string) string { return whole(id, "next") }))
+// Guards against losing the first request after a restart: it was sent on an idle connection
+// to the former process, because idle connections were kept by id.
+func TestIdleConnectionsToRestartedUpstreamAreNotReused(t *testing.T) {
+	former := newServer(t, respondWith(func(id string) string { return response(id, "former") }))
+	next := newServer(t, respondWith(func(id string) string { return response(id, "next") }))
 	cl := newClient(t, former, 1)
 	cl.up.Born = time.Unix(1000, 0)
 	cl.call("1")
 	cl.up = restarted(cl.up, next)
-	cl.keep(cl.up)
+	cl.setUpstream(cl.up)
 	if r := cl.call("2"); r.Result != scatter.Answered || string(r.Response.Body()) != "next" {
 		t.Errorf("%v, %s", r.Result, r.Detail)
 	}
 }
 
-// A query that was planned before holds the registration of the former start: its sends go
-// to the new one where that is at the same place, and are not made where it is elsewhere.
-func TestACallThatNamesAFormerStart(t *testing.T) {
-	s := newServer(t, answering(func(id string) string { return whole(id, "x") }))
-	elsewhere := newServer(t, answering(func(id string) string { return whole(id, "x") }))
+// A query that was planned before a restart holds the earlier registration. Its calls go to
+// the new process if the address is the same, and are not sent otherwise.
+func TestCallWithEarlierRegistration(t *testing.T) {
+	s := newServer(t, respondWith(func(id string) string { return response(id, "x") }))
+	elsewhere := newServer(t, respondWith(func(id string) string { return response(id, "x") }))
 	for name, c := range map[string]struct {
 		next *server
 		want scatter.Result
 	}{
-		"same place": {s, scatter.Answered},
-		"elsewhere":  {elsewhere, scatter.Unreached},
+		"same address": {s, scatter.Answered},
+		"elsewhere":    {elsewhere, scatter.Unreached},
 	} {
 		cl := newClient(t, s, 1)
 		cl.up.Born = time.Unix(1000, 0)
@@ -93,14 +92,14 @@
 		former := cl.up
 		cl.up = next
 		cl.call("1")
-		cl.keep(next)
+		cl.setUpstream(next)
 		cl.up = former
 		if r := cl.call("2"); r.Result != c.want {
 			t.Errorf("%s: %v, %s", name, r.Result, r.Detail)
 		}
 		cl.pools.SetWindow(former, 1)
 		if p := cl.pools.pools[next.ID]; p.window != 0 {
-			t.Errorf("%s: the new start has the window of the former", name)
+			t.Errorf("%s: the window of the earlier registration applies to the new process", name)
 		}
 	}
 }
