--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -1,5 +1,5 @@
-// Package httpserver is what the HTTP interfaces for callers and for operators
-// have in common: serving until a shutdown that cuts nothing off.
+// Package httpserver holds the common part of the HTTP interfaces for callers and for
+// operators: serving with a graceful shutdown.
 package httpserver
 
 import (
@@ -10,32 +10,34 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Server is one HTTP interface.
+// Server is an HTTP server with graceful shutdown.
 type Server struct {
 	http *fasthttp.Server
 }
 
-// New takes a configured library server and sets what all interfaces share.
+// New wraps a configured fasthttp server and sets the options that all interfaces share. It
+// modifies s.
 func New(s *fasthttp.Server) Server {
 	s.NoDefaultServerHeader = true
 	s.CloseOnShutdown = true
-	s.Logger = silent{}
+	s.Logger = discardLogger{}
 	return Server{http: s}
 }
 
-// Serve answers requests until Shutdown.
+// Serve accepts connections on ln and serves requests until Shutdown.
 func (s *Server) Serve(ln net.Listener) error {
 	return trace.Wrap(s.http.Serve(ln))
 }
 
-// Shutdown stops accepting and waits for open requests or ctx.
+// Shutdown stops accepting connections and waits until all open requests are served or ctx
+// is done.
 func (s *Server) Shutdown(ctx context.Context) error {
 	return trace.Wrap(s.http.ShutdownWithContext(ctx))
 }
 
-// silent drops the library's own lines: they are not in this project's form,
-// and every refusal is counted.
-type silent struct{}
+// discardLogger discards the log lines of fasthttp: they are not in this project's log
+// format, and every refusal is counted.
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
--- a/internal/sockpeek/listens.go
+++ b/internal/sockpeek/listens.go
@@ -7,19 +7,18 @@
 	"time"
 )
 
-// Dial opens a TCP connection.
+// Dial opens a TCP connection to address within timeout.
 type Dial func(address string, timeout time.Duration) (net.Conn, error)
 
-// NobodyListens tells whether the process behind an address has ended: connections are
-// refused. One that does not answer at all has not been shown to have ended. The connection
-// of a process that listens carried nothing and is closed again; opened says that there was
-// one.
+// NobodyListens reports whether the process behind an address has ended, which is the case if
+// it refuses a connection. A timeout does not prove it. If a process listens, opened is true;
+// the connection is closed without carrying data.
 func NobodyListens(dial Dial, address string, timeout time.Duration) (ended, opened bool) {
 	conn, err := dial(address, timeout)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED), false
 	}
-	// It carried nothing.
+	// Nothing was sent that a failed close could lose.
 	_ = conn.Close()
 	return false, true
 }
--- a/internal/sockpeek/sockpeek.go
+++ b/internal/sockpeek/sockpeek.go
@@ -1,4 +1,5 @@
-// Package sockpeek looks at what waits on a connection without reading it.
+// Package sockpeek inspects sockets: it detects unread bytes or a close on a connection
+// without reading from it, and whether a process listens on an address.
 package sockpeek
 
 import (
@@ -7,21 +8,21 @@
 	"syscall"
 )
 
-// State is what waits on a connection.
+// State is the state of a connection's receive side.
 type State int
 
-// States.
+// States of a connection.
 const (
-	// Quiet connections are open and nothing waits.
+	// Quiet connections are open and have no unread bytes.
 	Quiet State = iota
-	// Readable ones have bytes waiting.
+	// Readable connections have unread bytes.
 	Readable
-	// Ended ones were closed or reset by the other end, or cannot be looked at.
+	// Ended connections were closed or reset by the remote end, or cannot be inspected.
 	Ended
 )
 
-// Look tells what waits on a connection. Connections that are no sockets count
-// as quiet.
+// Look returns the state of a connection without blocking and without reading from it.
+// Connections that are not sockets are Quiet.
 func Look(nc net.Conn) State {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -32,8 +33,8 @@
 		return Ended
 	}
 	state := Ended
-	// Control and not Read: Read fails once a read deadline has passed, and every
-	// connection that was idle for longer would look ended.
+	// Control instead of Read: Read fails after a read deadline has passed, so that every
+	// connection that has been idle for longer would appear to be Ended.
 	err = raw.Control(func(fd uintptr) { state = peek(int(fd)) })
 	if err != nil {
 		return Ended
@@ -41,6 +42,7 @@
 	return state
 }
 
+// peek inspects a socket by a non-blocking receive with MSG_PEEK.
 func peek(fd int) State {
 	var buf [1]byte
 	n, _, err := syscall.Recvfrom(fd, buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/wire/ingress.go
+++ b/internal/wire/ingress.go
@@ -17,24 +17,26 @@
 	"sycamorekeel.example/sycamorekeel/internal/scatter"
 )
 
-// Ingress turns callers' requests into the engine's and its answers back.
+// Ingress is the HTTP handler for callers: it decodes their requests, passes them to the
+// engine and encodes its answers.
 type Ingress struct {
 	engine *edge.Engine
 	names  Names
-	// leaving tells whether this VM is being stopped.
+	// leaving reports whether this VM is shutting down.
 	leaving func() bool
 }
 
-// NewIngress serves callers by an engine.
+// NewIngress returns a handler that serves callers with engine. While leaving returns true,
+// each response closes its connection.
 func NewIngress(engine *edge.Engine, names Names, leaving func() bool) *Ingress {
 	return &Ingress{engine: engine, names: names, leaving: leaving}
 }
 
 // Handle serves one request.
 func (in *Ingress) Handle(ctx *fasthttp.RequestCtx) {
-	r, fault := in.request(ctx)
-	if fault != "" {
-		a := in.engine.Refuse(r, fault)
+	r, reason := in.decodeRequest(ctx)
+	if reason != "" {
+		a := in.engine.Refuse(r, reason)
 		in.writeRefusal(ctx, r, &a)
 	} else {
 		a := in.engine.Serve(r)
@@ -45,16 +47,16 @@
 	}
 }
 
-// Fault answers a request that could not be read. The library closes the
-// connection after it.
+// Fault responds to a request that could not be read; err is the read error. fasthttp
+// then closes the connection.
 func (in *Ingress) Fault(ctx *fasthttp.RequestCtx, err error) {
 	r := &edge.Request{Received: time.Now(), Message: &direct.Message{}}
-	a := in.engine.Refuse(r, faultOf(err))
+	a := in.engine.Refuse(r, readErrorReason(err))
 	in.writeRefusal(ctx, r, &a)
 }
 
-// faultOf is why a request could not be read.
-func faultOf(err error) edge.Reason {
+// readErrorReason returns the refusal reason for an error while reading a request.
+func readErrorReason(err error) edge.Reason {
 	var small *fasthttp.ErrSmallBuffer
 	var timeout net.Error
 	switch {
@@ -69,14 +71,15 @@
 	}
 }
 
-// request decodes a request. What it keeps is copied: sends may outlive the
-// handler, and the library uses its buffers again.
-func (in *Ingress) request(ctx *fasthttp.RequestCtx) (*edge.Request, edge.Reason) {
+// decodeRequest decodes and validates a request. The reason is empty if it is valid. The
+// returned request holds copies: sends may outlive the handler, and fasthttp reuses its
+// buffers.
+func (in *Ingress) decodeRequest(ctx *fasthttp.RequestCtx) (*edge.Request, edge.Reason) {
 	h := &fasthttp.RequestHeader{}
 	ctx.Request.Header.CopyTo(h)
 	r := &edge.Request{
 		Host:     string(h.Host()),
-		Path:     pathOf(string(h.RequestURI())),
+		Path:     requestPath(string(h.RequestURI())),
 		Received: time.Now(),
 		Conn:     ctx.Conn(),
 		Message: &direct.Message{
@@ -86,7 +89,7 @@
 		},
 	}
 	removeHopByHop(h)
-	// A body without a type goes on without one.
+	// Forward a body without a content type without adding one.
 	h.SetNoDefaultContentType(true)
 	if text := h.Peek(in.names.Deadline); len(text) > 0 {
 		ms, err := strconv.ParseInt(string(text), 10, 64)
@@ -99,13 +102,14 @@
 		return r, edge.Malformed
 	}
 	if v := in.engine.View(); v != nil && v.Table != nil {
-		return r, beyond(v.Table.Limits(), len(ctx.Request.Header.RawHeaders()), len(r.Message.Body))
+		return r, exceededLimit(v.Table.Limits(), len(ctx.Request.Header.RawHeaders()), len(r.Message.Body))
 	}
 	return r, ""
 }
 
-// beyond tells which limit a request exceeds, if any.
-func beyond(l routing.Limits, head, body int) edge.Reason {
+// exceededLimit returns the reason for the limit that a request exceeds, or "". head and
+// body are sizes in bytes.
+func exceededLimit(l routing.Limits, head, body int) edge.Reason {
 	switch {
 	case l.HeaderBytes > 0 && head > l.HeaderBytes:
 		return edge.HeadTooLarge
@@ -116,8 +120,9 @@
 	}
 }
 
-// pathOf is the path of a request target, which may be in absolute form.
-func pathOf(target string) string {
+// requestPath returns the path of a request target without the query string. The target
+// may be in absolute form.
+func requestPath(target string) string {
 	if _, rest, ok := strings.Cut(target, "://"); ok && !strings.HasPrefix(target, "/") {
 		i := strings.IndexByte(rest, '/')
 		if i < 0 {
@@ -129,13 +134,13 @@
 	return path
 }
 
-// hopByHop is the headers that concern only one connection.
+// hopByHop lists the headers that apply to a single connection.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// removeHopByHop removes them and those that Connection names. Content-Length
-// is written anew from the body.
+// removeHopByHop removes the hop-by-hop headers and the headers that Connection names.
+// Content-Length is set from the body when the request is written.
 func removeHopByHop(h *fasthttp.RequestHeader) {
 	for name := range strings.SplitSeq(string(h.Peek("Connection")), ",") {
 		if name = strings.TrimSpace(name); name != "" && !strings.EqualFold(name, "close") {
@@ -148,6 +153,7 @@
 	h.ResetConnectionClose()
 }
 
+// write encodes an answer of the engine.
 func (in *Ingress) write(ctx *fasthttp.RequestCtx, r *edge.Request, a *edge.Answer) {
 	switch {
 	case a.Response != nil:
@@ -159,12 +165,12 @@
 	}
 }
 
-// writeOpaque passes an upstream's answer on as it is.
+// writeOpaque forwards an upstream's response unchanged except for connection headers.
 func writeOpaque(ctx *fasthttp.RequestCtx, from *fasthttp.Response) {
 	to := &ctx.Response
 	to.SetStatusCode(from.StatusCode())
 	for name, value := range from.Header.All() {
-		if !ownHeader(string(name)) {
+		if !skipHeader(string(name)) {
 			to.Header.AddBytesKV(name, value)
 		}
 	}
@@ -172,9 +178,10 @@
 	to.SetBodyRaw(from.Body())
 }
 
-// ownHeader tells whether a header of an upstream's answer concerns only that
-// connection, or is written by the library.
-func ownHeader(name string) bool {
+// skipHeader reports whether a header of an upstream's response is not copied to the
+// caller's response: hop-by-hop headers, Content-Length, which fasthttp writes, and Content-Type,
+// which writeOpaque sets.
+func skipHeader(name string) bool {
 	if strings.EqualFold(name, "Content-Length") || strings.EqualFold(name, "Content-Type") {
 		return true
 	}
@@ -186,6 +193,7 @@
 	return false
 }
 
+// writeMerged encodes a merged answer with the proofs of its parts.
 func (in *Ingress) writeMerged(ctx *fasthttp.RequestCtx, r *edge.Request, a *edge.Answer) {
 	h := &ctx.Response.Header
 	h.Set(in.names.RequestID, r.Message.ID)
@@ -195,23 +203,24 @@
 	ctx.Response.SetBodyRaw(a.Body)
 }
 
-// refusalDocument is the body of a refusal.
+// refusalDocument is the JSON body of a refusal.
 type refusalDocument struct {
 	Request string `json:"request"`
-	// Error is the reason, the same word as in logs and metrics.
+	// Error is the reason, with the same text as in logs and metrics.
 	Error  string `json:"error"`
 	NotRun bool   `json:"not_run"`
 }
 
+// writeRefusal encodes a refusal: a status, a reason and whether the request was not run.
 func (in *Ingress) writeRefusal(ctx *fasthttp.RequestCtx, r *edge.Request, a *edge.Answer) {
-	ctx.Response.SetStatusCode(statusOf(a))
+	ctx.Response.SetStatusCode(refusalStatus(a))
 	if a.RetryAfter > 0 {
 		ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
 	}
 	ctx.Response.Header.Set(in.names.RequestID, r.Message.ID)
 	body, err := json.Marshal(refusalDocument{Request: r.Message.ID, Error: string(a.Reason), NotRun: a.NotRun})
 	if err != nil {
-		// Strings and a bool always encode.
+		// Unreachable: strings and a bool always encode.
 		ctx.SetConnectionClose()
 		return
 	}
@@ -219,9 +228,9 @@
 	ctx.Response.SetBodyRaw(body)
 }
 
-// statusOf is the status of a refusal. 503 is said only of requests that have
-// not run and never will.
-func statusOf(a *edge.Answer) int {
+// refusalStatus returns the HTTP status of a refusal. 503 is used only for requests that
+// have not run and never will.
+func refusalStatus(a *edge.Answer) int {
 	switch a.Reason {
 	case edge.Malformed:
 		return fasthttp.StatusBadRequest
--- a/internal/wire/ingress_test.go
+++ b/internal/wire/ingress_test.go
@@ -21,12 +21,12 @@
 	"sycamorekeel.example/sycamorekeel/internal/routing"
 )
 
-// patience bounds what a test waits for; no test passes by it running out.
-const patience = 10 * time.Second
+// testTimeout limits how long a test waits; no test passes by reaching it.
+const testTimeout = 10 * time.Second
 
-// serve is a server of callers with a bound of 100 bytes on heads, 10 on bodies and one on
-// the time that a request takes to arrive, and the counters of its engine.
-func serve(t *testing.T, arrival time.Duration) (net.Listener, *prometheus.Registry) {
+// startServer starts a server for callers that accepts at most 100 bytes of headers and 10
+// bytes of body, read within readTimeout. It returns its listener and the engine's metrics.
+func startServer(t *testing.T, readTimeout time.Duration) (net.Listener, *prometheus.Registry) {
 	t.Helper()
 	registry := prometheus.NewRegistry()
 	engine := edge.New(time.Now(), edge.Options{
@@ -41,7 +41,7 @@
 	in := NewIngress(engine, Own(), func() bool { return false })
 	server := &fasthttp.Server{
 		Handler: in.Handle, ErrorHandler: in.Fault,
-		ReadBufferSize: 500, MaxRequestBodySize: 100, ReadTimeout: arrival, Logger: log.New(io.Discard, "", 0),
+		ReadBufferSize: 500, MaxRequestBodySize: 100, ReadTimeout: readTimeout, Logger: log.New(io.Discard, "", 0),
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -60,9 +60,9 @@
 	return ln, registry
 }
 
-// Each row is a request that is refused before it is looked up, the status it
-// gets, and the word that the answer and the counter have for it.
-func TestRequestsThatAreRefusedUnread(t *testing.T) {
+// Each case is a request that is refused before routing or for lack of a route, its status,
+// and the reason in the response body and in the counter.
+func TestRefusedRequests(t *testing.T) {
 	const head = "GET /p/ HTTP/1.1\r\nHost: h\r\nX-Request-Id: id\r\n"
 	for _, c := range []struct {
 		name, sent string
@@ -70,25 +70,25 @@
 		reason     edge.Reason
 	}{
 		{"no id", "GET /p/ HTTP/1.1\r\nHost: h\r\n\r\n", 400, edge.Malformed},
-		{"a deadline that is no number", head + "X-Deadline-Ms: soon\r\n\r\n", 400, edge.Malformed},
-		{"no HTTP", "hello\r\n\r\n", 400, edge.Malformed},
-		{"a head over the limit", head + "X: " + strings.Repeat("x", 100) + "\r\n\r\n", 431, edge.HeadTooLarge},
-		{"a head over the buffer", head + "X: " + strings.Repeat("x", 900) + "\r\n\r\n", 431, edge.HeadTooLarge},
+		{"a non-numeric deadline", head + "X-Deadline-Ms: soon\r\n\r\n", 400, edge.Malformed},
+		{"not HTTP", "hello\r\n\r\n", 400, edge.Malformed},
+		{"headers over the limit", head + "X: " + strings.Repeat("x", 100) + "\r\n\r\n", 431, edge.HeadTooLarge},
+		{"headers over the read buffer", head + "X: " + strings.Repeat("x", 900) + "\r\n\r\n", 431, edge.HeadTooLarge},
 		{"a body over the limit", head + "Content-Length: 11\r\n\r\n12345678901", 413, edge.TooLarge},
-		{"a body over what is read", head + "Content-Length: 101\r\n\r\n", 413, edge.TooLarge},
-		{"half a head", head, 408, edge.TooSlow},
+		{"a body over the maximum read size", head + "Content-Length: 101\r\n\r\n", 413, edge.TooLarge},
+		{"incomplete headers", head, 408, edge.TooSlow},
 		{"no route", head + "\r\n", 404, edge.NoRoute},
 	} {
-		arrival := patience
+		readTimeout := testTimeout
 		if c.reason == edge.TooSlow {
-			arrival = 50 * time.Millisecond
+			readTimeout = 50 * time.Millisecond
 		}
-		ln, registry := serve(t, arrival)
+		ln, registry := startServer(t, readTimeout)
 		conn, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		resp := exchange(t, conn, c.sent)
+		resp := roundTrip(t, conn, c.sent)
 		if resp.StatusCode() != c.status || !strings.Contains(string(resp.Body()), `"`+string(c.reason)+`"`) {
 			t.Errorf("%s: %d %s, want %d %s", c.name, resp.StatusCode(), resp.Body(), c.status, c.reason)
 		}
@@ -101,10 +101,10 @@
 	}
 }
 
-// exchange sends bytes and reads one response.
-func exchange(t *testing.T, conn net.Conn, sent string) *fasthttp.Response {
+// roundTrip sends bytes and reads one response.
+func roundTrip(t *testing.T, conn net.Conn, sent string) *fasthttp.Response {
 	t.Helper()
-	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := conn.Write([]byte(sent)); err != nil {
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -1,33 +1,33 @@
-// Package wire speaks HTTP with callers and upstreams of opaque requests and of
-// merged queries. The names of the headers are handed in, so that the project's
-// own interface and the users' platform share one implementation.
+// Package wire implements the HTTP protocols with callers and with upstreams, both for
+// opaque requests and for merged queries. The header names are parameters, so that the
+// project's own interface and the users' platform share one implementation.
 package wire
 
-// Names is the headers that carry what HTTP has no words for.
+// Names holds the names of the protocol's custom HTTP headers.
 type Names struct {
-	// RequestID identifies one attempt of a caller.
+	// RequestID identifies one attempt of a caller's request.
 	RequestID string
-	// Deadline is how many milliseconds whoever asks will wait from now.
+	// Deadline is the remaining time, in milliseconds, that the sender waits for a response.
 	Deadline string
 	// Proof is an upstream's signature of its answer.
 	Proof string
-	// ExpectUpstream names the only upstream that may run the request.
+	// ExpectUpstream is the id of the only upstream that may run the request.
 	ExpectUpstream string
-	// NotRun marks answers to requests that were not run.
+	// NotRun marks responses to requests that were not run.
 	NotRun string
-	// Upstream is the id of the upstream that answers a call to its health path, Cold how
-	// many milliseconds longer it is cold.
+	// Upstream and Cold are set in responses of a health path: the id of the responding
+	// upstream and the milliseconds until it is warm.
 	Upstream, Cold string
-	// Load is the upstream's running requests, waiting requests, slots and, where it says it,
-	// how long work takes in hundredths of the usual, with commas between.
+	// Load is a comma-separated list: the upstream's running requests, waiting requests,
+	// slots and, optionally, the current duration of work in hundredths of the usual.
 	Load string
-	// Parts lists the proofs of the parts of a merged answer.
+	// Parts lists the proofs of the parts of a merged answer, separated by commas.
 	Parts string
-	// Missing is the number of shards that a merged answer leaves out.
+	// Missing is the number of shards whose part is missing from a merged answer.
 	Missing string
 }
 
-// Own is the names of the project's own interface.
+// Own returns the header names of the project's own interface.
 func Own() Names {
 	return Names{
 		RequestID:      "X-Request-Id",
--- a/internal/wire/ready.go
+++ b/internal/wire/ready.go
@@ -2,7 +2,8 @@
 
 import "github.com/valyala/fasthttp"
 
-// ReadyHandler answers at a path whether this VM takes callers: 200 or 503.
+// ReadyHandler serves a readiness check at path: 200 if this VM accepts callers, 503 if
+// not. Other paths get 404.
 func ReadyHandler(path string, ready func() bool) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		switch {
--- a/internal/wire/upstream.go
+++ b/internal/wire/upstream.go
@@ -13,7 +13,7 @@
 	"sycamorekeel.example/sycamorekeel/internal/scatter"
 )
 
-// Upstreams is how upstreams are spoken to; it implements direct.Protocol.
+// Upstreams implements direct.Protocol over HTTP.
 type Upstreams struct{ Names Names }
 
 // Encode implements direct.Protocol.
@@ -21,7 +21,7 @@
 	m.Header.CopyTo(&req.Header)
 	req.Header.Set(up.Names.RequestID, m.ID)
 	req.Header.Set(up.Names.Deadline, strconv.FormatInt(left.Milliseconds(), 10))
-	// An address may by now be another upstream's, of another service.
+	// The address may have been reassigned to another upstream, even of another service.
 	req.Header.Set(up.Names.ExpectUpstream, u.ID)
 	req.SetBodyRaw(m.Body)
 }
@@ -35,32 +35,32 @@
 	if len(resp.Header.Peek(up.Names.NotRun)) > 0 || status == fasthttp.StatusMisdirectedRequest {
 		return scatter.Refused, "", "status " + strconv.Itoa(status)
 	}
-	stamp := string(resp.Header.Peek(up.Names.Proof))
+	proof := string(resp.Header.Peek(up.Names.Proof))
 	switch {
-	case promisesNotRun(status):
-		// It may have run: passed on as it is, the status would tell the caller
+	case impliesNotRun(status):
+		// The request may have run, but a caller that received this status would conclude
 		// that it has not.
 		return scatter.Lost, "", "status " + strconv.Itoa(status) + " does not say that it was not run"
-	case stamp == "":
+	case proof == "":
 		return scatter.Lost, "", "status " + strconv.Itoa(status) + " without a signature"
 	case status < 200 || status > 299:
 		return scatter.Failed, "", "status " + strconv.Itoa(status)
 	default:
-		return scatter.Answered, stamp, ""
+		return scatter.Answered, proof, ""
 	}
 }
 
 const (
-	// usualPace is the reported figure of work that takes as long as usual.
-	usualPace = 100
-	// mostLoad and mostPace are more than any upstream reports truly.
-	mostLoad = 1 << 16
-	mostPace = 100 * usualPace
-	// loadCounts is how many counts a report begins with; the pace may follow.
+	// paceUnit is the reported pace of work that takes its usual time.
+	paceUnit = 100
+	// maxLoad and maxPace exceed any plausible report; larger values are invalid.
+	maxLoad = 1 << 16
+	maxPace = 100 * paceUnit
+	// loadCounts is the number of counts at the start of a report; a pace may follow.
 	loadCounts = 3
 )
 
-// DecodeLoad implements direct.Protocol. A report with a figure that cannot be is no report.
+// DecodeLoad implements direct.Protocol. A report with any value out of range is ignored.
 func (up Upstreams) DecodeLoad(resp *fasthttp.Response) *direct.Load {
 	text := string(resp.Header.Peek(up.Names.Load))
 	if text == "" {
@@ -73,7 +73,7 @@
 	var counts [loadCounts]int
 	for i := range counts {
 		n, err := strconv.Atoi(strings.TrimSpace(fields[i]))
-		if err != nil || n < 0 || n > mostLoad {
+		if err != nil || n < 0 || n > maxLoad {
 			return nil
 		}
 		counts[i] = n
@@ -81,10 +81,10 @@
 	l := &direct.Load{Running: counts[0], Waiting: counts[1], Slots: counts[2], Pace: 1}
 	if len(fields) > loadCounts {
 		pace, err := strconv.ParseFloat(strings.TrimSpace(fields[loadCounts]), 64)
-		if err != nil || !(pace > 0 && pace <= mostPace) {
+		if err != nil || !(pace > 0 && pace <= maxPace) {
 			return nil
 		}
-		l.Pace = pace / usualPace
+		l.Pace = pace / paceUnit
 	}
 	if l.Slots == 0 {
 		return nil
@@ -92,8 +92,8 @@
 	return l
 }
 
-// DecodeHealth implements direct.Protocol. An upstream that does not say how long it is cold
-// is warm; one that says it in no way that can be read is no upstream to trust.
+// DecodeHealth implements direct.Protocol. An upstream that sends no Cold header is warm. An
+// invalid value is an error, because such an upstream cannot be trusted.
 func (up Upstreams) DecodeHealth(resp *fasthttp.Response) (direct.Health, error) {
 	h := direct.Health{Upstream: string(resp.Header.Peek(up.Names.Upstream))}
 	text := string(resp.Header.Peek(up.Names.Cold))
@@ -101,19 +101,20 @@
 		return h, nil
 	}
 	ms, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(ms >= 0 && ms <= mostColdMS) {
-		return direct.Health{}, trace.BadParameter("%s: must be from 0 to %d, is %q", up.Names.Cold, mostColdMS, text)
+	if err != nil || !(ms >= 0 && ms <= maxColdMS) {
+		return direct.Health{}, trace.BadParameter("%s: must be from 0 to %d, is %q", up.Names.Cold, maxColdMS, text)
 	}
 	h.ColdFor = time.Duration(ms * float64(time.Millisecond))
 	return h, nil
 }
 
-// mostColdMS is longer than an upstream is cold, which is seconds.
-const mostColdMS = 3_600_000
+// maxColdMS limits the reported time, in milliseconds, until an upstream is warm; real ones
+// take seconds.
+const maxColdMS = 3_600_000
 
-// promisesNotRun tells whether a caller takes the status for a promise that its
-// request has not run.
-func promisesNotRun(status int) bool {
+// impliesNotRun reports whether callers take the status as a guarantee that their request
+// has not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case fasthttp.StatusRequestTimeout, fasthttp.StatusMisdirectedRequest,
 		fasthttp.StatusTooManyRequests, fasthttp.StatusServiceUnavailable:
--- a/internal/wire/upstream_test.go
+++ b/internal/wire/upstream_test.go
@@ -9,7 +9,7 @@
 	"sycamorekeel.example/sycamorekeel/internal/direct"
 )
 
-// Guards against reports that lie or cannot be read and are taken for an upstream's load.
+// Guards against taking a malformed or implausible report for an upstream's load.
 func TestDecodeLoad(t *testing.T) {
 	for text, want := range map[string]*direct.Load{
 		"":                nil,
@@ -36,7 +36,7 @@
 	}
 }
 
-// Guards against a cold upstream that is taken for a warm one as its answer cannot be read.
+// Guards against taking a cold upstream for a warm one because its response is malformed.
 func TestDecodeHealth(t *testing.T) {
 	for text, want := range map[string]time.Duration{"": 0, "0": 0, "1500": 1500 * time.Millisecond, "x": -1, "-1": -1, "1e12": -1, "NaN": -1} {
 		var resp fasthttp.Response
