--- a/internal/direct/pool.go
+++ b/internal/direct/pool.go
@@ -44,15 +44,18 @@
 	protocol Protocol
 	observer Observer
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// limit is the maximum number of connections. open counts the connections that are open
+	// or being dialled, openedTotal all that were started so far.
 	limit int
 	// window limits the connections in use at the same time, 0 for no limit.
 	window      int
 	open        int
 	openedTotal uint64
-	idle        []*conn
-	waiting     []*Call
-	closed      bool
+	// idle is a stack of idle connections, waiting a queue of calls without a connection.
+	idle    []*conn
+	waiting []*Call
+	closed  bool
 	// sockets holds the open connections. abandoned is set when they are closed because
 	// the upstream has restarted.
 	sockets   map[net.Conn]bool
--- a/internal/direct/pools.go
+++ b/internal/direct/pools.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// Opened returns the total number of connections opened by the current pools, that is, to
-// the current processes of known upstreams.
+// Opened returns how many connections the current pools, those of the current processes of
+// known upstreams, have opened so far. Failed dials count.
 func (p *Pools) Opened() uint64 {
 	var n uint64
 	for _, pool := range p.all() {
