--- a/internal/owner/bench_test.go
+++ b/internal/owner/bench_test.go
@@ -9,10 +9,10 @@
 	"sycamorekeel.example/sycamorekeel/internal/standin"
 )
 
-// BenchmarkSubmit: one sub-request from Submit to its reply, with the HTTP call
-// to the stand-in and the stand-in's own work in the same process.
+// BenchmarkSubmit runs one sub-request from Submit to its reply. It includes the
+// HTTP call to the stand-in and the stand-in's own work in the same process.
 func BenchmarkSubmit(b *testing.B) {
-	r := newRig(b, rigConfig{moving: true, slots: 5, connections: 40})
+	r := newRig(b, rigConfig{realClock: true, slots: 5, connections: 40})
 	r.ramp()
 	done := make(chan struct{})
 	reply := func(*pb.SubReply) { done <- struct{}{} }
@@ -25,10 +25,10 @@
 	}
 }
 
-// BenchmarkRefuse: one sub-request that is refused, so without the HTTP call.
+// BenchmarkRefuse runs one sub-request that is refused, so without an HTTP call.
 func BenchmarkRefuse(b *testing.B) {
-	r := newRig(b, rigConfig{moving: true, slots: 5, connections: 40})
-	r.become(None)
+	r := newRig(b, rigConfig{realClock: true, slots: 5, connections: 40})
+	r.setRole(None)
 	id := uint64(1)
 	reply := func(*pb.SubReply) {}
 	b.ReportAllocs()
@@ -44,16 +44,16 @@
 		Upstream:    upstreamID,
 		Customer:    "c",
 		Snapshot:    &pb.Snapshot{Generation: 1, Version: 1},
-		RemainingUs: uint32(patience.Microseconds()),
+		RemainingUs: uint32(waitTimeout.Microseconds()),
 		Idempotent:  true,
 		Body:        []byte(`{}`),
 	}
 }
 
-// BenchmarkCancel: a straggler holds the only slot, is withdrawn, and another
-// takes its slot. It is the time from the cancellation to that one's reply, by
-// what opening a connection costs: asking the upstream to give up keeps the
-// connection; closing it is the alternative, shown by its open cost.
+// BenchmarkCancel cancels a slow request that holds the only slot while another is
+// queued. It times from the cancellation to the queued request's reply, for several
+// costs of opening a connection. Asking the upstream to cancel keeps the connection
+// open; closing it is the alternative and pays for a new connection.
 func BenchmarkCancel(b *testing.B) {
 	for name, open := range map[string]time.Duration{"open=0ms": 0, "open=1ms": time.Millisecond, "open=6ms": 6 * time.Millisecond} {
 		b.Run("ask/"+name, func(b *testing.B) { benchmarkCancel(b, open, false) })
@@ -62,7 +62,7 @@
 }
 
 func benchmarkCancel(b *testing.B, open time.Duration, closing bool) {
-	r := newRig(b, rigConfig{moving: true, slots: 1, connections: 40, behaviour: standin.Behaviour{OpenDelay: open}})
+	r := newRig(b, rigConfig{realClock: true, slots: 1, connections: 40, behaviour: standin.Behaviour{OpenDelay: open}})
 	<-r.send(1)
 	id := uint64(10)
 	b.ResetTimer()
@@ -83,11 +83,11 @@
 	}
 }
 
-// BenchmarkRefuseParallel is BenchmarkRefuse from all processors at once: the
-// locks that every sub-request passes.
+// BenchmarkRefuseParallel is BenchmarkRefuse on all processors at once. It shows
+// the contention on the locks that every sub-request takes.
 func BenchmarkRefuseParallel(b *testing.B) {
-	r := newRig(b, rigConfig{moving: true, slots: 5, connections: 40})
-	r.become(None)
+	r := newRig(b, rigConfig{realClock: true, slots: 5, connections: 40})
+	r.setRole(None)
 	var id atomic.Uint64
 	reply := func(*pb.SubReply) {}
 	b.ReportAllocs()
--- a/internal/owner/cancel.go
+++ b/internal/owner/cancel.go
@@ -7,59 +7,60 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// maxCancels bounds the cancellations that wait to be sent to one upstream; the
-// requests of those above it run to their end.
-const maxCancels = 64
+// maxPendingCancels bounds the cancellations that wait to be sent to one upstream.
+// Cancellations beyond it are not sent, and their requests run to the end.
+const maxPendingCancels = 64
 
-func (s *station) cancel(key dispatch.Key) {
-	s.mu.Lock()
-	it, waiting := s.queue.Cancel(key)
+func (e *executor) cancel(key dispatch.Key) {
+	e.mu.Lock()
+	it, waiting := e.queue.Cancel(key)
 	sent := false
 	if !waiting {
-		sent = s.cancelRunning(key)
+		sent = e.cancelRunning(key)
 	}
-	s.mu.Unlock()
+	e.mu.Unlock()
 	switch {
 	case waiting:
-		s.owner.met.cancels.WithLabelValues(metWaiting).Inc()
-		s.owner.refuse(it, dispatch.Refusal{Result: pb.Result_CANCELLED, Reason: dispatch.Withdrawn})
+		e.owner.metrics.cancels.WithLabelValues(cancelledWaiting).Inc()
+		e.owner.refuse(it, dispatch.Refusal{Result: pb.Result_CANCELLED, Reason: dispatch.Withdrawn})
 	case sent:
-		s.owner.met.cancels.WithLabelValues(metRunning).Inc()
+		e.owner.metrics.cancels.WithLabelValues(cancelledRunning).Inc()
 	default:
-		s.owner.met.cancels.WithLabelValues(metBacklog).Inc()
+		e.owner.metrics.cancels.WithLabelValues(cancelNotSent).Inc()
 	}
 }
 
-// cancelRunning queues a cancellation for the upstream. The caller holds mu.
-func (s *station) cancelRunning(key dispatch.Key) bool {
-	if len(s.cancels) >= maxCancels || s.closed {
+// cancelRunning queues a cancellation for the upstream. It returns false when the
+// cancellation will not be sent. The caller holds mu.
+func (e *executor) cancelRunning(key dispatch.Key) bool {
+	if len(e.cancels) >= maxPendingCancels || e.closed {
 		return false
 	}
-	s.cancels = append(s.cancels, requestID(key))
-	if !s.cancelling {
-		s.cancelling = true
-		go s.sendCancels()
+	e.cancels = append(e.cancels, requestID(key))
+	if !e.cancelling {
+		e.cancelling = true
+		go e.sendCancels()
 	}
 	return true
 }
 
-// sendCancels sends the cancellations one after another on the control
-// connection and ends when there are none. The slot becomes free when the
-// request's own answer comes.
-func (s *station) sendCancels() {
+// sendCancels sends the queued cancellations one by one on the control connection
+// and returns when none is left. A slot becomes free only when the cancelled
+// request's own response arrives.
+func (e *executor) sendCancels() {
 	for {
-		s.mu.Lock()
-		batch := s.cancels
-		s.cancels = nil
+		e.mu.Lock()
+		batch := e.cancels
+		e.cancels = nil
 		if len(batch) == 0 {
-			s.cancelling = false
-			s.mu.Unlock()
+			e.cancelling = false
+			e.mu.Unlock()
 			return
 		}
-		s.mu.Unlock()
+		e.mu.Unlock()
 		for _, id := range batch {
-			if err := s.client.Cancel(id); err != nil {
-				s.owner.log.Debug("owner: cancellation not delivered", zap.Error(err))
+			if err := e.client.Cancel(id); err != nil {
+				e.owner.log.Debug("owner: cancellation not delivered", zap.Error(err))
 			}
 		}
 	}
--- a/internal/owner/metrics.go
+++ b/internal/owner/metrics.go
@@ -13,15 +13,15 @@
 
 type metrics struct {
 	refusals *prometheus.CounterVec
-	// calls is indexed by result: the path of each sub-request looks up no label.
-	calls      [len(labels)]prometheus.Counter
-	extra      prometheus.Counter
-	seconds    prometheus.Histogram
-	queued     prometheus.Histogram
-	duplicates prometheus.Counter
-	cancels    *prometheus.CounterVec
-	probes     *prometheus.CounterVec
-	pauses     prometheus.Counter
+	// calls is indexed by result, so that a sub-request needs no label lookup.
+	calls        [len(resultLabels)]prometheus.Counter
+	extraCalls   prometheus.Counter
+	callSeconds  prometheus.Histogram
+	queueSeconds prometheus.Histogram
+	duplicates   prometheus.Counter
+	cancels      *prometheus.CounterVec
+	probes       *prometheus.CounterVec
+	pauses       prometheus.Counter
 }
 
 func newMetrics(r prometheus.Registerer) *metrics {
@@ -31,16 +31,16 @@
 			Name: "sycamorekeel_owner_refusals_total",
 			Help: "Sub-requests the owner did not run, by result and reason.",
 		}, []string{"result", "reason"}),
-		extra: f.NewCounter(prometheus.CounterOpts{
+		extraCalls: f.NewCounter(prometheus.CounterOpts{
 			Name: "sycamorekeel_owner_extra_calls_total",
 			Help: "Requests sent to upstreams that were hedges or retries.",
 		}),
-		seconds: f.NewHistogram(prometheus.HistogramOpts{
+		callSeconds: f.NewHistogram(prometheus.HistogramOpts{
 			Name:    "sycamorekeel_owner_call_seconds",
 			Help:    "Time of a request at an upstream.",
 			Buckets: prometheus.ExponentialBuckets(0.0005, 2, 14),
 		}),
-		queued: f.NewHistogram(prometheus.HistogramOpts{
+		queueSeconds: f.NewHistogram(prometheus.HistogramOpts{
 			Name:    "sycamorekeel_owner_queue_seconds",
 			Help:    "Time a sub-request waited for a slot.",
 			Buckets: prometheus.ExponentialBuckets(0.0005, 2, 14),
@@ -66,35 +66,37 @@
 		Name: "sycamorekeel_owner_calls_total",
 		Help: "Requests sent to upstreams, by result.",
 	}, []string{"result"})
-	for i, l := range labels {
+	for i, l := range resultLabels {
 		m.calls[i] = calls.WithLabelValues(l)
 	}
 	return m
 }
 
-// What a cancellation met.
+// Values of the label "met" of the cancellation counter: the state of the
+// sub-request when its cancellation arrived. cancelNotSent is for those not in
+// the queue whose cancellation is not sent to the upstream.
 const (
-	metWaiting = "waiting"
-	metRunning = "running"
-	metNothing = "nothing"
-	metBacklog = "backlog"
+	cancelledWaiting = "waiting"
+	cancelledRunning = "running"
+	cancelledNothing = "nothing"
+	cancelNotSent    = "backlog"
 )
 
-func (m *metrics) refused(r dispatch.Refusal) {
-	m.refusals.WithLabelValues(labels[r.Result], string(r.Reason)).Inc()
+func (m *metrics) countRefusal(r dispatch.Refusal) {
+	m.refusals.WithLabelValues(resultLabels[r.Result], string(r.Reason)).Inc()
 }
 
-func (m *metrics) ran(r pb.Result, extra bool, waited, took time.Duration) {
+func (m *metrics) observeCall(r pb.Result, extra bool, waited, took time.Duration) {
 	m.calls[r].Inc()
-	m.queued.Observe(waited.Seconds())
-	m.seconds.Observe(took.Seconds())
+	m.queueSeconds.Observe(waited.Seconds())
+	m.callSeconds.Observe(took.Seconds())
 	if extra {
-		m.extra.Inc()
+		m.extraCalls.Inc()
 	}
 }
 
-// labels are the results as metric labels.
-var labels = func() (out [int(pb.Result_VM_STOPPING) + 1]string) {
+// resultLabels holds the metric label of each result.
+var resultLabels = func() (out [int(pb.Result_VM_STOPPING) + 1]string) {
 	for i := range out {
 		out[i] = strings.ToLower(pb.Result(i).String())
 	}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -1,8 +1,8 @@
-// Package owner runs the sub-requests of the upstreams this VM owns: one queue,
-// one set of slots, one view of its health and one set of connections for each.
-// It carries out what dispatch and health decide.
-//
-// Lock order: Owner.mu, then emitMu, then station.mu, then ledgerMu or pauseMu;
+// Package owner executes sub-requests on the upstreams that this VM owns. Each
+// upstream has its own queue, slots, health monitor and connections. Package
+// dispatch decides the order of the queue and package health decides whether an
+// upstream is usable; this package applies their decisions.
+// Lock order: Owner.mu, then reportMu, then executor.mu, then ledgerMu or pauseMu;
 // no lock is held across I/O.
 package owner
 
@@ -22,122 +22,131 @@
 	"sycamorekeel.example/sycamorekeel/internal/upstream"
 )
 
-// StatusSink is told what the owner believes of its upstreams. Its methods must
-// not block; calls for one upstream come in order.
+// StatusSink receives status changes of the owned upstreams. Its methods must not
+// block; calls for one upstream are made in order.
 type StatusSink interface {
-	// UpstreamChanged gives the present status of an owned upstream.
+	// UpstreamChanged reports the current status of an owned upstream.
 	UpstreamChanged(*pb.UpstreamStatus)
-	// UpstreamLost tells that this VM owns it no longer.
+	// UpstreamLost reports that this VM no longer owns the upstream.
 	UpstreamLost(id string)
 }
 
-// Options is what an owner needs.
+// Options configures an Owner.
 type Options struct {
 	Log      *zap.Logger
 	Registry prometheus.Registerer
-	// Grant is what this VM may use of an upstream now.
+	// Grant returns the slots and connections of an upstream that this VM may
+	// currently use.
 	Grant         func(*contract.Upstream) Grant
 	Status        StatusSink
 	MaxQueue      int
 	MaxReplyBytes int
 	Now           func() time.Time
-	// Dial opens a connection to an upstream; nil dials plainly.
+	// Dial opens a connection to an upstream; nil means plain TCP.
 	Dial   func(address string, timeout time.Duration) (net.Conn, error)
 	Order  dispatch.Order
 	Limit  dispatch.LimitPolicy
 	Health health.Options
 	Ledger dispatch.LedgerOptions
 	Pause  dispatch.PauseOptions
-	// InDoubt tells that this VM's views may be out of date, so that it may own
-	// nothing any more: nothing is dispatched meanwhile. Nil never does.
+	// InDoubt reports whether this VM's view of the cluster may be out of date,
+	// so that it may have lost its upstreams to another VM. Dispatching is
+	// suspended while it returns true. Nil means never.
 	InDoubt func(now time.Time) bool
 }
 
-// DefaultPause is a second without a tick, and a tenth to read what waited.
+// DefaultPause detects a pause after a second without a tick and keeps dispatching
+// suspended for another 100 ms, so that messages that arrived meanwhile are read
+// first.
 func DefaultPause() dispatch.PauseOptions {
 	return dispatch.PauseOptions{Gap: time.Second, Settle: 100 * time.Millisecond}
 }
 
-// Owner is the stations of this VM.
+// Owner holds the executors of this VM, one for each upstream in use.
 type Owner struct {
-	opts  Options
-	log   *zap.Logger
-	met   *metrics
-	conns *upstream.Metrics
+	opts        Options
+	log         *zap.Logger
+	metrics     *metrics
+	connMetrics *upstream.Metrics
 
-	mu       sync.Mutex
-	snapshot *contract.Snapshot
-	stations map[string]*station
-	// retiring are the stations of upstreams that are gone or replaced.
-	retiring map[*station]struct{}
+	mu        sync.Mutex
+	snapshot  *contract.Snapshot
+	executors map[string]*executor
+	// retiring holds the executors of upstreams that were removed, or whose
+	// address changed, until they are drained.
+	retiring map[*executor]struct{}
 	stopping bool
 
-	// emitMu keeps the calls of Status in order.
-	emitMu sync.Mutex
+	// reportMu keeps the calls to opts.Status in order.
+	reportMu sync.Mutex
 
 	ledgerMu sync.Mutex
 	ledger   *dispatch.Ledger
-	// allClosed is signalled when no sub-request is open.
-	allClosed *sync.Cond
+	// allAnswered is signalled when no sub-request is open.
+	allAnswered *sync.Cond
 
-	pauseMu sync.Mutex
-	pause   *dispatch.Pause
-	wasHeld bool
+	pauseMu      sync.Mutex
+	pause        *dispatch.Pause
+	wasSuspended bool
 }
 
-// New makes an owner with no stations; Apply gives it some and Run tends them.
+// New returns an Owner without executors. Apply creates them; Run probes and
+// expires them.
 func New(opts Options) *Owner {
 	o := &Owner{
-		opts:     opts,
-		log:      opts.Log,
-		met:      newMetrics(opts.Registry),
-		conns:    upstream.NewMetrics(opts.Registry),
-		snapshot: contract.Compile(0, nil),
-		stations: map[string]*station{},
-		retiring: map[*station]struct{}{},
-		ledger:   dispatch.NewLedger(opts.Ledger),
-		pause:    dispatch.NewPause(opts.Pause),
+		opts:        opts,
+		log:         opts.Log,
+		metrics:     newMetrics(opts.Registry),
+		connMetrics: upstream.NewMetrics(opts.Registry),
+		snapshot:    contract.Compile(0, nil),
+		executors:   map[string]*executor{},
+		retiring:    map[*executor]struct{}{},
+		ledger:      dispatch.NewLedger(opts.Ledger),
+		pause:       dispatch.NewPause(opts.Pause),
 	}
-	o.allClosed = sync.NewCond(&o.ledgerMu)
+	o.allAnswered = sync.NewCond(&o.ledgerMu)
 	return o
 }
 
-// Apply takes on a new configuration or ownership. A station that is no longer
-// granted answers what waits as not run, and ends when what it runs has ended.
-// Owned upstreams get a station at once, so that they are probed.
+// Apply installs a new configuration or a change of ownership. An executor that
+// loses its grant refuses its queued sub-requests as not run and closes when its
+// running ones have ended. Owned upstreams get an executor at once, so that they
+// are probed.
 func (o *Owner) Apply(snap *contract.Snapshot) {
-	owned := o.owned(snap)
+	owned := o.ownedUpstreams(snap)
 	o.mu.Lock()
 	o.snapshot = snap
 	var refused []dispatch.Refused
-	for id, st := range o.stations {
-		refused = append(refused, o.regrant(id, st)...)
+	for id, e := range o.executors {
+		refused = append(refused, o.updateGrant(id, e)...)
 	}
 	if !o.stopping {
-		o.startOwned(owned)
+		o.startExecutors(owned)
 	}
 	o.mu.Unlock()
 	for _, r := range refused {
 		o.refuse(r.Item, r.Refusal)
 	}
-	for _, st := range o.all() {
-		st.tick(o.opts.Now())
+	for _, e := range o.allExecutors() {
+		e.tick(o.opts.Now())
 	}
 }
 
-// regrant tells a station what it may use from now on. The caller holds mu.
-func (o *Owner) regrant(id string, st *station) []dispatch.Refused {
+// updateGrant applies the current grant to an executor and returns the sub-requests
+// that it drops. The caller holds mu.
+func (o *Owner) updateGrant(id string, e *executor) []dispatch.Refused {
 	u, ok := o.snapshot.Upstream(id)
-	if ok && !st.replaced(u) {
-		return st.grant(u, o.opts.Grant(u))
+	if ok && !e.addressChanged(u) {
+		return e.setGrant(u, o.opts.Grant(u))
 	}
-	delete(o.stations, id)
-	o.retiring[st] = struct{}{}
-	return st.grant(nil, Grant{})
+	delete(o.executors, id)
+	o.retiring[e] = struct{}{}
+	return e.setGrant(nil, Grant{})
 }
 
-// owned is the upstreams that this VM owns; sub-requests go on meanwhile.
-func (o *Owner) owned(snap *contract.Snapshot) []*contract.Upstream {
+// ownedUpstreams returns the upstreams of snap that this VM owns. It runs without
+// mu, so that sub-requests are not blocked.
+func (o *Owner) ownedUpstreams(snap *contract.Snapshot) []*contract.Upstream {
 	var out []*contract.Upstream
 	for _, u := range snap.Upstreams() {
 		if o.opts.Grant(u).Role == Main {
@@ -147,29 +156,29 @@
 	return out
 }
 
-// startOwned starts the missing stations of owned upstreams. The caller holds mu.
-func (o *Owner) startOwned(owned []*contract.Upstream) {
+// startExecutors creates the missing executors of owned upstreams. The caller holds
+// mu.
+func (o *Owner) startExecutors(owned []*contract.Upstream) {
 	for _, u := range owned {
-		if o.stations[u.ID] == nil {
-			o.stations[u.ID] = o.newStation(u, o.opts.Grant(u))
+		if o.executors[u.ID] == nil {
+			o.executors[u.ID] = o.newExecutor(u, o.opts.Grant(u))
 		}
 	}
 }
 
-// Submit queues a sub-request. Reply is called once, maybe before Submit
-// returns; for an id that is open already it is not called, as the first call
-// answers.
+// Submit queues a sub-request. It calls reply exactly once, possibly before it
+// returns, unless the id is already open: then the first call's reply answers both.
 func (o *Owner) Submit(key dispatch.Key, req *pb.SubRequest, reply func(*pb.SubReply)) {
 	now := o.opts.Now()
 	it := &dispatch.Item{Key: key, Customer: req.Customer, Arrived: now, Request: req, Reply: reply}
-	switch o.arrive(now, it) {
+	switch o.recordArrival(now, it) {
 	case dispatch.Open:
-		o.met.duplicates.Inc()
+		o.metrics.duplicates.Inc()
 		return
 	case dispatch.Answered:
-		// It may have run: only the first answer says.
+		// The sub-request may have run; only the first reply has its outcome.
 		reply(&pb.SubReply{Id: req.Id, Result: pb.Result_UNKNOWN, Detail: "this id was answered before"})
-		o.met.duplicates.Inc()
+		o.metrics.duplicates.Inc()
 		return
 	case dispatch.Cancelled:
 		o.refuse(it, dispatch.Refusal{Result: pb.Result_CANCELLED, Reason: dispatch.Tombstone})
@@ -178,21 +187,21 @@
 		o.refuse(it, dispatch.Refusal{Result: pb.Result_QUEUE_FULL, Reason: dispatch.LedgerFull})
 		return
 	}
-	st, refusal := o.prepare(now, it)
+	e, refusal := o.prepare(now, it)
 	if refusal != nil {
 		o.refuse(it, *refusal)
 		return
 	}
-	st.push(now, it)
+	e.push(now, it)
 }
 
-// prepare finds the item's station and fills in its deadline and rank.
-func (o *Owner) prepare(now time.Time, it *dispatch.Item) (*station, *dispatch.Refusal) {
+// prepare sets the item's deadline and priority and returns its executor.
+func (o *Owner) prepare(now time.Time, it *dispatch.Item) (*executor, *dispatch.Refusal) {
 	remaining := time.Duration(it.Request.RemainingUs) * time.Microsecond
-	if held, gap := o.held(now); held {
-		// It may have waited in a socket for the whole pause, with its
-		// remaining time standing still: without this an owner that wakes
-		// would run work that was given up long ago.
+	if suspended, gap := o.suspended(now); suspended {
+		// The request may have waited in a socket buffer for the whole pause while
+		// its remaining time did not decrease. Without this subtraction the owner
+		// would run work that its sender gave up long ago.
 		remaining -= gap
 		if remaining <= 0 {
 			return nil, &dispatch.Refusal{Result: pb.Result_TOO_LATE, Reason: dispatch.Paused}
@@ -201,12 +210,13 @@
 	it.Deadline = now.Add(remaining)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.rank(it)
-	return o.station(it.Request.Upstream)
+	o.setPriority(it)
+	return o.executorFor(it.Request.Upstream)
 }
 
-// rank fills in what the contract says of the item. The caller holds mu.
-func (o *Owner) rank(it *dispatch.Item) {
+// setPriority sets the item's weight and priority from the customer's
+// configuration. The caller holds mu.
+func (o *Owner) setPriority(it *dispatch.Item) {
 	it.Weight = 1
 	it.Priority = pb.Priority_LOW
 	c, ok := o.snapshot.Customer(it.Customer)
@@ -219,14 +229,14 @@
 	}
 }
 
-// station finds the upstream's station, starting it on first use. The caller
-// holds mu.
-func (o *Owner) station(id string) (*station, *dispatch.Refusal) {
+// executorFor returns the upstream's executor and creates it on first use. The
+// caller holds mu.
+func (o *Owner) executorFor(id string) (*executor, *dispatch.Refusal) {
 	if o.stopping {
 		return nil, &dispatch.Refusal{Result: pb.Result_VM_STOPPING, Reason: dispatch.Stopping}
 	}
-	if st := o.stations[id]; st != nil {
-		return st, nil
+	if e := o.executors[id]; e != nil {
+		return e, nil
 	}
 	u, ok := o.snapshot.Upstream(id)
 	if !ok {
@@ -236,13 +246,13 @@
 	if g.Slots == 0 {
 		return nil, &dispatch.Refusal{Result: pb.Result_NOT_OWNER, Reason: dispatch.NotOwner}
 	}
-	st := o.newStation(u, g)
-	o.stations[id] = st
-	return st, nil
+	e := o.newExecutor(u, g)
+	o.executors[id] = e
+	return e, nil
 }
 
-func (o *Owner) newStation(u *contract.Upstream, g Grant) *station {
-	st := &station{
+func (o *Owner) newExecutor(u *contract.Upstream, g Grant) *executor {
+	e := &executor{
 		owner:    o,
 		upstream: u,
 		granted:  g,
@@ -250,89 +260,91 @@
 			Address:     u.Address,
 			Connections: g.Connections,
 			MaxReply:    o.opts.MaxReplyBytes,
-			Metrics:     o.conns,
+			Metrics:     o.connMetrics,
 			Dial:        o.opts.Dial,
 		}),
 		queue:   dispatch.New(dispatch.Options{Order: o.opts.Order, MaxQueue: o.opts.MaxQueue}),
 		limiter: dispatch.NewLimiter(o.opts.Limit, g.Slots),
 		health:  health.New(o.opts.Health, xxhash.Sum64String(u.ID)),
 	}
-	st.health.SetLeaving(u.Leaving)
-	return st
+	e.health.SetLeaving(u.Leaving)
+	return e
 }
 
-// Cancel withdraws a sub-request: a waiting one is answered as not run, one that
-// runs is cancelled at the upstream, and one that has not come yet is answered
-// as not run when it comes.
+// Cancel cancels a sub-request. A queued one is refused as not run, a running one
+// is cancelled at the upstream, and one that has not arrived yet is refused as not
+// run on arrival.
 func (o *Owner) Cancel(key dispatch.Key, upstreamID string) {
 	o.ledgerMu.Lock()
 	open := o.ledger.Cancel(o.opts.Now(), key)
 	o.ledgerMu.Unlock()
 	if !open {
-		o.met.cancels.WithLabelValues(metNothing).Inc()
+		o.metrics.cancels.WithLabelValues(cancelledNothing).Inc()
 		return
 	}
 	o.mu.Lock()
-	st := o.stations[upstreamID]
+	e := o.executors[upstreamID]
 	o.mu.Unlock()
-	if st != nil {
-		st.cancel(key)
+	if e != nil {
+		e.cancel(key)
 	}
 }
 
-func (o *Owner) all() []*station {
+func (o *Owner) allExecutors() []*executor {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	out := make([]*station, 0, len(o.stations))
-	for _, st := range o.stations {
-		out = append(out, st)
+	out := make([]*executor, 0, len(o.executors))
+	for _, e := range o.executors {
+		out = append(out, e)
 	}
-	for st := range o.retiring {
-		out = append(out, st)
+	for e := range o.retiring {
+		out = append(out, e)
 	}
 	return out
 }
 
-// Stop refuses new work and waits until what was taken in is answered.
+// Stop refuses new sub-requests and waits until all accepted ones are answered.
 func (o *Owner) Stop() {
 	o.mu.Lock()
 	o.stopping = true
 	o.mu.Unlock()
-	stations := o.all()
-	for _, st := range stations {
-		st.refuseNew()
+	executors := o.allExecutors()
+	for _, e := range executors {
+		e.stopAccepting()
 	}
 	o.ledgerMu.Lock()
 	for o.ledger.OpenCount() > 0 {
-		o.allClosed.Wait()
+		o.allAnswered.Wait()
 	}
 	o.ledgerMu.Unlock()
-	for _, st := range stations {
-		st.shut()
+	for _, e := range executors {
+		e.close()
 	}
 }
 
-func (o *Owner) arrive(now time.Time, it *dispatch.Item) dispatch.Sighting {
+func (o *Owner) recordArrival(now time.Time, it *dispatch.Item) dispatch.Sighting {
 	o.ledgerMu.Lock()
 	defer o.ledgerMu.Unlock()
 	return o.ledger.Arrive(now, it.Key, it.Request.Idempotent)
 }
 
-// held tells whether nothing is dispatched now since the process was paused.
-func (o *Owner) held(now time.Time) (bool, time.Duration) {
+// suspended reports whether dispatching is suspended, because the process was
+// paused or its view may be out of date, and the length of the pause.
+func (o *Owner) suspended(now time.Time) (bool, time.Duration) {
 	o.pauseMu.Lock()
-	held, gap := o.pause.Check(now)
+	suspended, gap := o.pause.Check(now)
 	o.pauseMu.Unlock()
-	if held || o.opts.InDoubt == nil {
-		return held, gap
+	if suspended || o.opts.InDoubt == nil {
+		return suspended, gap
 	}
-	// What arrives by now was sent after the pause: no time is taken off it.
+	// A request that arrives now was sent after the pause, so its remaining time
+	// is not reduced.
 	return o.opts.InDoubt(now), 0
 }
 
 // refuse answers an item that did not run.
 func (o *Owner) refuse(it *dispatch.Item, why dispatch.Refusal) {
-	o.met.refused(why)
+	o.metrics.countRefusal(why)
 	o.answer(it, &pb.SubReply{
 		Id:           it.Request.Id,
 		Result:       why.Result,
@@ -341,18 +353,18 @@
 	})
 }
 
-// answer gives the one reply of an item.
+// answer closes the item in the ledger and sends its only reply.
 func (o *Owner) answer(it *dispatch.Item, r *pb.SubReply) {
 	o.ledgerMu.Lock()
 	o.ledger.Close(it.Key)
 	if o.ledger.OpenCount() == 0 {
-		o.allClosed.Broadcast()
+		o.allAnswered.Broadcast()
 	}
 	o.ledgerMu.Unlock()
 	it.Reply(r)
 }
 
-// milliseconds rounds up, so that a short time does not become none.
+// milliseconds rounds up, so that a short duration does not become zero.
 func milliseconds(d time.Duration) uint32 {
 	return uint32((d + time.Millisecond - 1) / time.Millisecond)
 }
--- a/internal/owner/rig_test.go
+++ b/internal/owner/rig_test.go
@@ -21,24 +21,25 @@
 )
 
 const (
-	patience   = 20 * time.Second
-	upstreamID = "search/u1"
+	waitTimeout = 20 * time.Second
+	upstreamID  = "search/u1"
 )
 
-// rig is one owner before one upstream.
+// rig is one owner with one upstream.
 type rig struct {
 	t      testing.TB
 	owner  *Owner
 	server *standin.Upstream
 	role   atomic.Int32
-	// start and ahead make the clock, which stands still unless config.moving.
-	start  time.Time
-	ahead  atomic.Int64
-	config rigConfig
+	// start plus elapsed is the clock, which only advance moves, unless
+	// config.realClock is set.
+	start   time.Time
+	elapsed atomic.Int64
+	config  rigConfig
 
 	mu       sync.Mutex
 	statuses []string
-	// next numbers the sub-requests of loops.
+	// next is the id counter of burst.
 	next uint64
 }
 
@@ -48,10 +49,10 @@
 	connections int
 	behaviour   standin.Behaviour
 	// server is shared with another rig when set.
-	server  *standin.Upstream
-	address string
-	moving  bool
-	limit   dispatch.LimitPolicy
+	server    *standin.Upstream
+	address   string
+	realClock bool
+	limit     dispatch.LimitPolicy
 }
 
 // newRig starts an owner that owns the upstream.
@@ -89,7 +90,8 @@
 	return r
 }
 
-// stop ends the owner; after a failed check something may still wait or run.
+// stop ends the owner. It releases requests that a failed check left queued or
+// running.
 func (r *rig) stop() {
 	stopped := make(chan struct{})
 	go func() {
@@ -105,26 +107,26 @@
 		default:
 			return false
 		}
-	}, patience).Should(BeTrue())
+	}, waitTimeout).Should(BeTrue())
 }
 
 func expectNoLeak(t testing.TB, leaks goleak.Option) {
-	NewWithT(t).Eventually(func() error { return goleak.Find(append(libraries, leaks)...) }, patience).Should(Succeed())
+	NewWithT(t).Eventually(func() error { return goleak.Find(append(ignoredGoroutines, leaks)...) }, waitTimeout).Should(Succeed())
 }
 
-// libraries are goroutines that outlive their owner: they end by themselves
-// after a sleep or live as long as the process.
-var libraries = []goleak.Option{
+// ignoredGoroutines outlive their owner: they end by themselves after a sleep or
+// live as long as the process.
+var ignoredGoroutines = []goleak.Option{
 	goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.(*workerPool).Start.func2"),
 	goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"),
 	goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.(*HostClient).connsCleaner"),
 }
 
 func (r *rig) now() time.Time {
-	if r.config.moving {
+	if r.config.realClock {
 		return time.Now()
 	}
-	return r.start.Add(time.Duration(r.ahead.Load()))
+	return r.start.Add(time.Duration(r.elapsed.Load()))
 }
 
 func (r *rig) apply(leaving bool) {
@@ -135,33 +137,34 @@
 	}}}))
 }
 
-func (r *rig) become(role Role) {
+func (r *rig) setRole(role Role) {
 	r.role.Store(int32(role))
 	r.apply(false)
 }
 
-// tick looks at every station and hands the due probes to nobody.
+// tick ticks every executor once and returns the number of due probes, at most 1.
+// It runs none of them.
 func (r *rig) tick() int {
-	due := make(chan *station, 1)
+	due := make(chan *executor, 1)
 	r.owner.Tick(due)
 	return len(due)
 }
 
-// jump moves the clock.
-func (r *rig) jump(d time.Duration) { r.ahead.Add(int64(d)) }
+// advance moves the clock forward.
+func (r *rig) advance(d time.Duration) { r.elapsed.Add(int64(d)) }
 
 func (r *rig) key(id uint64) dispatch.Key {
 	return dispatch.Key{VM: "vm-1" + r.config.vm, Incarnation: 1, ID: id}
 }
 
-// send submits sub-request id, whose body is the id; its reply comes on the
-// channel.
+// send submits sub-request id, whose body contains the id, and returns the channel
+// of its reply.
 func (r *rig) send(id uint64) <-chan *pb.SubReply {
-	return r.sendFor(id, patience)
+	return r.sendFor(id, waitTimeout)
 }
 
 func (r *rig) sendFor(id uint64, remaining time.Duration) <-chan *pb.SubReply {
-	// A second reply to one id would be kept and found.
+	// Room for a second reply, so that a duplicate is detected.
 	out := make(chan *pb.SubReply, 2)
 	r.owner.Submit(r.key(id), &pb.SubRequest{
 		Id:          id,
@@ -176,20 +179,20 @@
 
 func (r *rig) cancel(id uint64) { r.owner.Cancel(r.key(id), upstreamID) }
 
-// runs is how often the upstream ran sub-request id.
-func (r *rig) runs(id uint64) int { return r.server.RunsOf(body(id)) }
+// runCount returns how often the upstream ran sub-request id.
+func (r *rig) runCount(id uint64) int { return r.server.RunsOf(body(id)) }
 
 func body(id uint64) string { return `{"n":` + strconv.FormatUint(id, 10) + `}` }
 
-// ramp raises the limit to the published slots.
+// ramp sends bursts until the limit reaches the published slots.
 func (r *rig) ramp() {
 	NewWithT(r.t).Eventually(func() int {
 		r.burst()
-		return r.station().limiter.Limit()
-	}, patience).Should(Equal(r.config.slots))
+		return r.executor().limiter.Limit()
+	}, waitTimeout).Should(Equal(r.config.slots))
 }
 
-// burst sends one sub-request for each slot and waits for all.
+// burst sends one sub-request for each slot and waits for all replies.
 func (r *rig) burst() {
 	var all []<-chan *pb.SubReply
 	for range r.config.slots {
@@ -201,17 +204,17 @@
 	}
 }
 
-func (r *rig) station() *station {
+func (r *rig) executor() *executor {
 	r.owner.mu.Lock()
 	defer r.owner.mu.Unlock()
-	return r.owner.stations[upstreamID]
+	return r.owner.executors[upstreamID]
 }
 
-// hold fills the first slot with a request that ends when let is called.
-func (r *rig) hold(id uint64) (reply <-chan *pb.SubReply, let func()) {
+// hold starts a request that occupies a slot until release is called.
+func (r *rig) hold(id uint64) (reply <-chan *pb.SubReply, release func()) {
 	r.server.Change(func(b *standin.Behaviour) { b.Hang = true })
 	reply = r.send(id)
-	NewWithT(r.t).Eventually(func() int { return r.runs(id) }, patience).Should(Equal(1))
+	NewWithT(r.t).Eventually(func() int { return r.runCount(id) }, waitTimeout).Should(Equal(1))
 	r.server.Change(func(b *standin.Behaviour) { b.Hang = false })
 	return reply, func() { r.server.Release(body(id)) }
 }
@@ -230,8 +233,8 @@
 	r.statuses = append(r.statuses, "lost")
 }
 
-// seen is the states told, repeats left out.
-func (r *rig) seen() []string {
+// reportedStates returns the reported states without consecutive duplicates.
+func (r *rig) reportedStates() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Compact(slices.Clone(r.statuses))
--- a/internal/owner/run.go
+++ b/internal/owner/run.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// tickEvery is the time between two looks at every station.
-	tickEvery = 50 * time.Millisecond
-	// probers is how many probes are under way at a time, so that one that
-	// hangs does not hold up the rest.
-	probers = 4
+	// tickInterval is the time between two ticks of the executors.
+	tickInterval = 50 * time.Millisecond
+	// probeWorkers is the number of concurrent probes, so that one that hangs
+	// does not block the others.
+	probeWorkers = 4
 )
 
-// Run tends the stations until ctx ends: it probes them, answers what expired
-// while it waited, and notices when this process was paused.
+// Run probes the upstreams, expires queued sub-requests and detects pauses of this
+// process until ctx ends.
 func (o *Owner) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	due := make(chan *station)
-	for range probers {
-		group.Go(func() error { return probe(ctx, due) })
+	due := make(chan *executor)
+	for range probeWorkers {
+		group.Go(func() error { return runProber(ctx, due) })
 	}
 	group.Go(func() error {
-		ticker := time.NewTicker(tickEvery)
+		ticker := time.NewTicker(tickInterval)
 		defer ticker.Stop()
 		for {
 			select {
@@ -39,63 +39,67 @@
 	return group.Wait()
 }
 
-func probe(ctx context.Context, due <-chan *station) error {
+// runProber probes the executors received from due until ctx ends.
+func runProber(ctx context.Context, due <-chan *executor) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case st := <-due:
-			st.probe()
+		case e := <-due:
+			e.probe()
 		}
 	}
 }
 
-// Tick looks at every station once and offers those whose probe is due.
-func (o *Owner) Tick(due chan<- *station) {
+// Tick expires and dispatches queued sub-requests of every executor and sends the
+// executors with a due probe to due, without blocking.
+func (o *Owner) Tick(due chan<- *executor) {
 	now := o.opts.Now()
 	o.pauseMu.Lock()
-	held, gap := o.pause.Check(now)
+	suspended, gap := o.pause.Check(now)
 	o.pause.Tick(now)
-	woke := held && !o.wasHeld
-	o.wasHeld = held
+	resumed := suspended && !o.wasSuspended
+	o.wasSuspended = suspended
 	o.pauseMu.Unlock()
-	if woke {
-		o.met.pauses.Inc()
-		o.log.Warn("owner: this process was paused; reading what waited first", zap.Duration("pause", gap))
+	if resumed {
+		o.metrics.pauses.Inc()
+		o.log.Warn("owner: process was paused; dispatch suspended until pending messages are read", zap.Duration("pause", gap))
 	}
-	if held {
+	if suspended {
 		return
 	}
-	for _, st := range o.all() {
-		st.tick(now)
-		o.offer(st, now, due)
-		o.reap(st)
+	for _, e := range o.allExecutors() {
+		e.tick(now)
+		o.offerProbe(e, now, due)
+		o.reap(e)
 	}
 }
 
-func (o *Owner) offer(st *station, now time.Time, due chan<- *station) {
-	if !st.probeDue(now) {
+// offerProbe sends the executor to due if its probe is due. If no prober is free,
+// the probe is skipped.
+func (o *Owner) offerProbe(e *executor, now time.Time, due chan<- *executor) {
+	if !e.probeDue(now) {
 		return
 	}
 	select {
-	case due <- st:
+	case due <- e:
 	default:
-		st.probeSkipped()
+		e.probeSkipped()
 	}
 }
 
-// reap ends a station that is no longer granted once nothing runs on it.
-func (o *Owner) reap(st *station) {
+// reap closes an executor that has no grant and is drained.
+func (o *Owner) reap(e *executor) {
 	o.mu.Lock()
-	gone := st.ended()
-	if gone {
-		delete(o.retiring, st)
+	ended := e.drained()
+	if ended {
+		delete(o.retiring, e)
 	}
-	if gone && o.stations[st.upstream.ID] == st {
-		delete(o.stations, st.upstream.ID)
+	if ended && o.executors[e.upstream.ID] == e {
+		delete(o.executors, e.upstream.ID)
 	}
 	o.mu.Unlock()
-	if gone {
-		st.shut()
+	if ended {
+		e.close()
 	}
 }
--- a/internal/owner/status.go
+++ b/internal/owner/status.go
@@ -10,93 +10,95 @@
 	"sycamorekeel.example/sycamorekeel/internal/upstream"
 )
 
-// status is what was last told of the upstream.
-type status struct {
+// reportedStatus is the status last reported to opts.Status.
+type reportedStatus struct {
 	state     pb.UpstreamState
 	snapshots []*pb.Snapshot
 }
 
-func (s *station) probeDue(now time.Time) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.granted.Role == Main && !s.closed && s.health.ProbeDue(now)
+func (e *executor) probeDue(now time.Time) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.granted.Role == Main && !e.closed && e.health.ProbeDue(now)
 }
 
-func (s *station) probeSkipped() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.health.ProbeSkipped()
+func (e *executor) probeSkipped() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.health.ProbeSkipped()
 }
 
-// probe asks for the upstream's health and takes the answer in.
-func (s *station) probe() {
-	sent := s.owner.opts.Now()
-	s.mu.Lock()
-	idle := s.granted.Connections-1 > s.granted.Slots
-	s.mu.Unlock()
-	answer, err := s.client.Probe(idle)
-	now := s.owner.opts.Now()
-	s.mu.Lock()
-	s.probed(now, sent, answer)
-	s.mu.Unlock()
+// probe requests the upstream's health and records the response.
+func (e *executor) probe() {
+	sent := e.owner.opts.Now()
+	e.mu.Lock()
+	idle := e.granted.Connections-1 > e.granted.Slots
+	e.mu.Unlock()
+	answer, err := e.client.Probe(idle)
+	now := e.owner.opts.Now()
+	e.mu.Lock()
+	e.recordProbe(now, sent, answer)
+	e.mu.Unlock()
 	outcome := "answered"
 	if err != nil {
 		outcome = "failed"
-		s.owner.log.Debug("owner: probe failed", zap.Error(err))
+		e.owner.log.Debug("owner: probe failed", zap.Error(err))
 	}
-	s.owner.met.probes.WithLabelValues(outcome).Inc()
-	s.tick(now)
+	e.owner.metrics.probes.WithLabelValues(outcome).Inc()
+	e.tick(now)
 }
 
-// probed learns from the answer. The caller holds mu.
-func (s *station) probed(now, sent time.Time, answer *upstream.Health) {
+// recordProbe updates the health monitor with a probe's response; answer is nil if
+// the probe failed. The caller holds mu.
+func (e *executor) recordProbe(now, sent time.Time, answer *upstream.Health) {
 	if answer == nil {
-		s.health.Probed(now, sent, nil)
+		e.health.Probed(now, sent, nil)
 		return
 	}
-	before := s.health.State()
+	before := e.health.State()
 	state, snapshots := answer.Report()
-	s.health.Probed(now, sent, &health.Report{State: state, Snapshots: snapshots})
-	if s.health.State() == pb.UpstreamState_COLD && before != pb.UpstreamState_COLD {
-		s.limiter.Restart()
+	e.health.Probed(now, sent, &health.Report{State: state, Snapshots: snapshots})
+	if e.health.State() == pb.UpstreamState_COLD && before != pb.UpstreamState_COLD {
+		e.limiter.Restart()
 	}
 }
 
-// emit tells of a change of what is believed, or of the loss of ownership.
-func (s *station) emit() {
-	s.mu.Lock()
-	same := s.settled()
-	s.mu.Unlock()
-	if same || s.owner.opts.Status == nil {
+// reportStatus reports a changed status, or the loss of ownership, to opts.Status.
+func (e *executor) reportStatus() {
+	e.mu.Lock()
+	same := e.statusReported()
+	e.mu.Unlock()
+	if same || e.owner.opts.Status == nil {
 		return
 	}
-	s.owner.emitMu.Lock()
-	defer s.owner.emitMu.Unlock()
-	s.mu.Lock()
-	if s.settled() {
-		s.mu.Unlock()
+	e.owner.reportMu.Lock()
+	defer e.owner.reportMu.Unlock()
+	e.mu.Lock()
+	if e.statusReported() {
+		e.mu.Unlock()
 		return
 	}
-	lost := s.granted.Role != Main
-	s.emitted = status{}
+	lost := e.granted.Role != Main
+	e.reported = reportedStatus{}
 	if !lost {
-		s.emitted = status{state: s.health.State(), snapshots: s.health.Snapshots()}
+		e.reported = reportedStatus{state: e.health.State(), snapshots: e.health.Snapshots()}
 	}
-	id, now := s.upstream.ID, s.emitted
-	s.mu.Unlock()
+	id, now := e.upstream.ID, e.reported
+	e.mu.Unlock()
 	if lost {
-		s.owner.opts.Status.UpstreamLost(id)
+		e.owner.opts.Status.UpstreamLost(id)
 		return
 	}
-	s.owner.opts.Status.UpstreamChanged(&pb.UpstreamStatus{Upstream: id, State: now.state, Snapshots: now.snapshots})
+	e.owner.opts.Status.UpstreamChanged(&pb.UpstreamStatus{Upstream: id, State: now.state, Snapshots: now.snapshots})
 }
 
-// settled tells whether there is nothing new to tell. The caller holds mu.
-func (s *station) settled() bool {
-	if s.granted.Role != Main {
-		return s.emitted.state == pb.UpstreamState_UPSTREAM_STATE_UNSPECIFIED
+// statusReported reports whether the current status was already reported. The
+// caller holds mu.
+func (e *executor) statusReported() bool {
+	if e.granted.Role != Main {
+		return e.reported.state == pb.UpstreamState_UPSTREAM_STATE_UNSPECIFIED
 	}
-	return s.health.State() == s.emitted.state && sameSnapshots(s.health.Snapshots(), s.emitted.snapshots)
+	return e.health.State() == e.reported.state && sameSnapshots(e.health.Snapshots(), e.reported.snapshots)
 }
 
 func sameSnapshots(a, b []*pb.Snapshot) bool {
