--- a/internal/owner/cancel.go
+++ b/internal/owner/cancel.go
@@ -11,6 +11,7 @@
 // Cancellations beyond it are not sent, and their requests run to the end.
 const maxPendingCancels = 64
 
+// cancel refuses a queued item as not run, or cancels a running one at the upstream.
 func (e *executor) cancel(key dispatch.Key) {
 	e.mu.Lock()
 	it, waiting := e.queue.Cancel(key)
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -2,6 +2,7 @@
 // upstream has its own queue, slots, health monitor and connections. Package
 // dispatch decides the order of the queue and package health decides whether an
 // upstream is usable; this package applies their decisions.
+//
 // Lock order: Owner.mu, then reportMu, then executor.mu, then ledgerMu or pauseMu;
 // no lock is held across I/O.
 package owner
--- a/internal/peer/chunk.go
+++ b/internal/peer/chunk.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// chunkSize is the most bytes of an answer that cross in one frame.
+	// chunkSize is the maximum number of body bytes of a reply in one frame.
 	chunkSize = 64 << 10
-	// maxBatchBytes bounds one message: the transport refuses larger ones than
-	// 4 MiB and ends the stream over them.
+	// maxBatchBytes bounds one message. The transport refuses messages above
+	// 4 MiB and ends the stream.
 	maxBatchBytes = 1 << 20
-	// maxBatchChunks bounds the chunks of one batch.
+	// maxBatchChunks bounds the chunks in one batch.
 	maxBatchChunks = 4
-	// maxLargeBytes bounds the answers that wait in one outbox to be cut up, and
-	// those that one stream's reader puts together.
+	// maxLargeBytes bounds the large replies queued in one outbox, and those
+	// that the reader of one stream reassembles.
 	maxLargeBytes = 64 << 20
-	// frameOverhead is what a frame takes besides its body, about.
+	// frameOverhead is the estimated size of a frame without its body.
 	frameOverhead = 256
 )
 
-// splitter is a large answer on its way out in chunks.
+// splitter cuts a large reply into chunks.
 type splitter struct {
 	reply    *pb.SubReply
 	offset   int
@@ -33,8 +33,9 @@
 	return &splitter{reply: r, checksum: xxhash.Sum64(r.Body)}
 }
 
-// next is the next chunk; done tells that it is the last one.
-func (s *splitter) next() (f *pb.Frame, done bool) {
+// nextChunk returns the next chunk. done is true for the last one, which also
+// carries the result and the other fields of the reply.
+func (s *splitter) nextChunk() (f *pb.Frame, done bool) {
 	end := min(s.offset+chunkSize, len(s.reply.Body))
 	chunk := &pb.SubReply{
 		Id:       s.reply.Id,
@@ -56,13 +57,13 @@
 	return &pb.Frame{Body: &pb.Frame_Reply{Reply: chunk}}, done
 }
 
-// largeReply is the answer in a frame when it has to cross in chunks.
+// largeReply returns the frame's reply and whether it must be sent in chunks.
 func largeReply(f *pb.Frame) (*pb.SubReply, bool) {
 	r := f.GetReply()
 	return r, r != nil && len(r.Body) > chunkSize
 }
 
-// frameSize is about what a frame takes in a message.
+// frameSize estimates the size of a frame in a message.
 func frameSize(f *pb.Frame) int {
 	switch b := f.Body.(type) {
 	case *pb.Frame_Request:
@@ -76,91 +77,92 @@
 	}
 }
 
-// fault is why a chunk is dropped.
-type fault string
+// dropReason is the reason for dropping a chunk, as a metric label.
+type dropReason string
 
 const (
-	// chunkForeign: nobody waits for this answer, or no longer.
-	chunkForeign fault = "foreign"
-	// chunkRepeated: its bytes are here already.
-	chunkRepeated fault = "repeated"
+	// chunkUnexpected: no request is waiting for this reply.
+	chunkUnexpected dropReason = "foreign"
+	// chunkDuplicate: its bytes were already received.
+	chunkDuplicate dropReason = "repeated"
 	// chunkGap: bytes before it are missing.
-	chunkGap fault = "gap"
-	// chunkMismatch: it contradicts the answer's other chunks or its length.
-	chunkMismatch fault = "mismatch"
-	// chunkTooLarge: the answers under way take too much memory.
-	chunkTooLarge fault = "too_large"
-	// chunkChecksum: the whole answer is not what was sent.
-	chunkChecksum fault = "checksum"
+	chunkGap dropReason = "gap"
+	// chunkMismatch: it contradicts the reply's earlier chunks or its length.
+	chunkMismatch dropReason = "mismatch"
+	// chunkTooLarge: the replies being reassembled would take too much memory.
+	chunkTooLarge dropReason = "too_large"
+	// chunkChecksum: the reassembled body does not match its checksum.
+	chunkChecksum dropReason = "checksum"
 )
 
-// joiner puts the answers of one stream together. It is pure and not safe for
-// concurrent use.
-type joiner struct {
-	partial map[uint64]*partial
-	// bytes is the memory set aside for them.
-	bytes int
+// reassembler joins the chunks of one stream's replies. It does no I/O and is not
+// safe for concurrent use.
+type reassembler struct {
+	partials map[uint64]*partialReply
+	// reservedBytes is the total length of the partial replies.
+	reservedBytes int
 }
 
-// partial is an answer under way.
-type partial struct {
+// partialReply is a reply of which some chunks are missing.
+type partialReply struct {
 	body     []byte
 	length   int
 	checksum uint64
 }
 
-func newJoiner() *joiner {
-	return &joiner{partial: map[uint64]*partial{}}
+func newReassembler() *reassembler {
+	return &reassembler{partials: map[uint64]*partialReply{}}
 }
 
-// chunk tells whether a reply is one of several.
-func chunk(r *pb.SubReply) bool {
+// isChunk reports whether r is a chunk of a larger reply.
+func isChunk(r *pb.SubReply) bool {
 	return r.Length > 0
 }
 
-// add takes a chunk in. A reply is returned once its answer is whole, or has
-// failed: then its outcome is unknown, because the upstream ran it. wanted tells
-// whether its reply is outstanding.
-func (j *joiner) add(r *pb.SubReply, wanted bool) (whole *pb.SubReply, why fault) {
-	if !wanted {
-		j.forget(r.Id)
-		return nil, chunkForeign
+// add processes a chunk. expected says whether a request is waiting for the reply.
+// add returns the reply when it is complete, or when reassembly failed: then with
+// result UNKNOWN, because the upstream ran the request.
+func (ra *reassembler) add(r *pb.SubReply, expected bool) (complete *pb.SubReply, reason dropReason) {
+	if !expected {
+		ra.discard(r.Id)
+		return nil, chunkUnexpected
 	}
-	p := j.partial[r.Id]
+	p := ra.partials[r.Id]
 	if p == nil {
-		if why := j.open(r); why != "" {
-			return failed(r, why), why
+		if reason := ra.reserve(r); reason != "" {
+			return failedReply(r, reason), reason
 		}
-		p = j.partial[r.Id]
+		p = ra.partials[r.Id]
 	}
-	if why := p.check(r); why != "" {
-		if why == chunkRepeated {
-			return nil, why
+	if reason := p.validate(r); reason != "" {
+		if reason == chunkDuplicate {
+			return nil, reason
 		}
-		j.forget(r.Id)
-		return failed(r, why), why
+		ra.discard(r.Id)
+		return failedReply(r, reason), reason
 	}
 	p.body = append(p.body, r.Body...)
 	if len(p.body) < p.length {
 		return nil, ""
 	}
-	j.forget(r.Id)
+	ra.discard(r.Id)
 	if xxhash.Sum64(p.body) != p.checksum {
-		return failed(r, chunkChecksum), chunkChecksum
+		return failedReply(r, chunkChecksum), chunkChecksum
 	}
 	r.Body = p.body
 	r.Offset, r.Length, r.Checksum = 0, 0, 0
 	return r, ""
 }
 
-// open makes room for an answer. Its whole length is reserved before any of it
-// is kept: a length alone must not fill the memory, nor must many.
-func (j *joiner) open(r *pb.SubReply) fault {
-	if r.Length > maxLargeBytes || j.bytes+int(r.Length) > maxLargeBytes {
+// reserve registers a new partial reply. It counts the whole announced length
+// before any byte is stored, but allocates only part of it: neither one false
+// length nor many may exhaust memory.
+func (ra *reassembler) reserve(r *pb.SubReply) dropReason {
+	if r.Length > maxLargeBytes || ra.reservedBytes+int(r.Length) > maxLargeBytes {
 		return chunkTooLarge
 	}
-	j.bytes += int(r.Length)
-	j.partial[r.Id] = &partial{
+	ra.reservedBytes += int(r.Length)
+	ra.partials[r.Id] = &partialReply{
 		body:     make([]byte, 0, min(int(r.Length), 4*chunkSize)),
 		length:   int(r.Length),
 		checksum: r.Checksum,
@@ -168,20 +170,20 @@
 	return ""
 }
 
-func (j *joiner) forget(id uint64) {
-	if p := j.partial[id]; p != nil {
-		j.bytes -= p.length
-		delete(j.partial, id)
+func (ra *reassembler) discard(id uint64) {
+	if p := ra.partials[id]; p != nil {
+		ra.reservedBytes -= p.length
+		delete(ra.partials, id)
 	}
 }
 
-func (p *partial) check(r *pb.SubReply) fault {
+func (p *partialReply) validate(r *pb.SubReply) dropReason {
 	have := uint64(len(p.body))
 	switch {
 	case r.Length != uint64(p.length) || r.Checksum != p.checksum:
 		return chunkMismatch
 	case r.Offset < have:
-		return chunkRepeated
+		return chunkDuplicate
 	case r.Offset > have:
 		return chunkGap
 	case len(r.Body) == 0 || have+uint64(len(r.Body)) > r.Length:
@@ -191,6 +193,6 @@
 	}
 }
 
-func failed(r *pb.SubReply, why fault) *pb.SubReply {
-	return &pb.SubReply{Id: r.Id, Result: pb.Result_UNKNOWN, Detail: "the answer's chunks: " + string(why)}
+func failedReply(r *pb.SubReply, reason dropReason) *pb.SubReply {
+	return &pb.SubReply{Id: r.Id, Result: pb.Result_UNKNOWN, Detail: "the answer's chunks: " + string(reason)}
 }
--- a/internal/peer/chunk_link.go
+++ b/internal/peer/chunk_link.go
@@ -18,31 +18,31 @@
 	}, []string{"reason"})}
 }
 
-// join replaces the chunks in a batch by the answers that they complete. Only
+// reassemble replaces the chunks in a batch by the replies that they complete. Only
 // the stream's reader calls it.
-func (l *link) join(frames []*pb.Frame) []*pb.Frame {
+func (l *link) reassemble(frames []*pb.Frame) []*pb.Frame {
 	out := frames[:0]
 	for _, f := range frames {
 		r := f.GetReply()
-		if r == nil || !chunk(r) {
+		if r == nil || !isChunk(r) {
 			out = append(out, f)
 			continue
 		}
-		whole, why := l.chunks.add(r, l.awaits(r.Id))
-		if why != "" {
-			l.pool.chunkMet.dropped.WithLabelValues(string(why)).Inc()
+		complete, reason := l.reassembler.add(r, l.isWaiting(r.Id))
+		if reason != "" {
+			l.pool.chunkMetrics.dropped.WithLabelValues(string(reason)).Inc()
 		}
-		if whole != nil {
-			// A failed answer ends the wait at once, so that its later chunks
-			// are foreign.
-			l.settle([]*pb.Frame{{Body: &pb.Frame_Reply{Reply: whole}}})
-			out = append(out, &pb.Frame{Body: &pb.Frame_Reply{Reply: whole}})
+		if complete != nil {
+			// A failed reply removes its request at once, so that its later
+			// chunks are unexpected.
+			l.removeAnswered([]*pb.Frame{{Body: &pb.Frame_Reply{Reply: complete}}})
+			out = append(out, &pb.Frame{Body: &pb.Frame_Reply{Reply: complete}})
 		}
 	}
 	return out
 }
 
-func (l *link) awaits(id uint64) bool {
+func (l *link) isWaiting(id uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_, ok := l.waiting[id]
--- a/internal/peer/chunk_test.go
+++ b/internal/peer/chunk_test.go
@@ -7,7 +7,7 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// large is an answer of n bytes that do not repeat with the chunk size.
+// large returns a reply of n bytes whose pattern does not repeat with the chunk size.
 func large(id uint64, n int) *pb.SubReply {
 	body := make([]byte, n)
 	for i := range body {
@@ -19,7 +19,7 @@
 func split(r *pb.SubReply) []*pb.SubReply {
 	var out []*pb.SubReply
 	for s := newSplitter(r); ; {
-		f, done := s.next()
+		f, done := s.nextChunk()
 		out = append(out, f.GetReply())
 		if done {
 			return out
@@ -27,127 +27,125 @@
 	}
 }
 
-func TestAnswerComesWhole(t *testing.T) {
+func TestReplyIsReassembled(t *testing.T) {
 	for _, n := range []int{chunkSize + 1, 2 * chunkSize, 5*chunkSize - 1} {
 		want := large(64, n)
-		j := newJoiner()
+		ra := newReassembler()
 		var got *pb.SubReply
 		for _, c := range split(want) {
 			if len(c.Body) > chunkSize {
 				t.Fatalf("a chunk of %d bytes", len(c.Body))
 			}
-			whole, why := j.add(c, true)
-			if why != "" {
-				t.Fatalf("%d bytes: dropped as %s", n, why)
+			complete, reason := ra.add(c, true)
+			if reason != "" {
+				t.Fatalf("%d bytes: dropped as %s", n, reason)
 			}
-			got = whole
+			got = complete
 		}
 		if got == nil || !bytes.Equal(got.Body, want.Body) || got.Result != pb.Result_OK || got.ServiceUs != 9 || got.Length != 0 {
-			t.Fatalf("%d bytes: the answer is not what was sent", n)
+			t.Fatalf("%d bytes: the reply differs from the one sent", n)
 		}
-		if j.bytes != 0 || len(j.partial) != 0 {
-			t.Errorf("%d bytes stay reserved", j.bytes)
+		if ra.reservedBytes != 0 || len(ra.partials) != 0 {
+			t.Errorf("%d bytes stay reserved", ra.reservedBytes)
 		}
 	}
 }
 
-// Symptom: a caller gets an answer with foreign or missing bytes, or a VM runs
-// out of memory.
-// Sequence: a chunk of an answer of five is changed, lost, repeated or foreign.
-// Cause: chunks were joined in the order of their coming, unchecked.
+// Failure: a caller gets a reply with wrong or missing bytes, or a VM runs out of
+// memory. One chunk of a reply of five is changed, lost, duplicated or unexpected.
+// Chunks were joined in order of arrival without checks.
 func TestBadChunks(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		change func(chunks []*pb.SubReply) []*pb.SubReply
-		wanted bool
-		why    fault
-		// whole says that the answer is complete all the same.
-		whole bool
+		name     string
+		change   func(chunks []*pb.SubReply) []*pb.SubReply
+		expected bool
+		reason   dropReason
+		// complete says that the reply is complete in spite of the change.
+		complete bool
 	}{
-		{name: "changed byte", wanted: true, why: chunkChecksum, change: func(c []*pb.SubReply) []*pb.SubReply {
+		{name: "changed byte", expected: true, reason: chunkChecksum, change: func(c []*pb.SubReply) []*pb.SubReply {
 			c[2].Body = append([]byte(nil), c[2].Body...)
 			c[2].Body[0]++
 			return c
 		}},
-		{name: "lost chunk", wanted: true, why: chunkGap, change: func(c []*pb.SubReply) []*pb.SubReply { return append(c[:2], c[3:]...) }},
-		{name: "repeated chunk", wanted: true, why: chunkRepeated, whole: true, change: func(c []*pb.SubReply) []*pb.SubReply {
+		{name: "lost chunk", expected: true, reason: chunkGap, change: func(c []*pb.SubReply) []*pb.SubReply { return append(c[:2], c[3:]...) }},
+		{name: "duplicate chunk", expected: true, reason: chunkDuplicate, complete: true, change: func(c []*pb.SubReply) []*pb.SubReply {
 			return append(c[:3:3], c[1:]...)
 		}},
-		{name: "other checksum half way", wanted: true, why: chunkMismatch, change: func(c []*pb.SubReply) []*pb.SubReply { c[3].Checksum++; return c }},
-		{name: "more bytes than announced", wanted: true, why: chunkMismatch, change: func(c []*pb.SubReply) []*pb.SubReply {
+		{name: "different checksum in a later chunk", expected: true, reason: chunkMismatch, change: func(c []*pb.SubReply) []*pb.SubReply { c[3].Checksum++; return c }},
+		{name: "more bytes than announced", expected: true, reason: chunkMismatch, change: func(c []*pb.SubReply) []*pb.SubReply {
 			c[4].Body = make([]byte, chunkSize+1)
 			return c
 		}},
-		{name: "empty chunk", wanted: true, why: chunkMismatch, change: func(c []*pb.SubReply) []*pb.SubReply { c[1].Body = nil; return c }},
-		{name: "length without end", wanted: true, why: chunkTooLarge, change: func(c []*pb.SubReply) []*pb.SubReply {
+		{name: "empty chunk", expected: true, reason: chunkMismatch, change: func(c []*pb.SubReply) []*pb.SubReply { c[1].Body = nil; return c }},
+		{name: "huge announced length", expected: true, reason: chunkTooLarge, change: func(c []*pb.SubReply) []*pb.SubReply {
 			c[0].Length = 1 << 62
 			return c[:1]
 		}},
-		{name: "foreign or late", why: chunkForeign, change: func(c []*pb.SubReply) []*pb.SubReply { return c }},
+		{name: "unexpected or late", reason: chunkUnexpected, change: func(c []*pb.SubReply) []*pb.SubReply { return c }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			j := newJoiner()
-			wanted := c.wanted
-			var first fault
+			ra := newReassembler()
+			expected := c.expected
+			var first dropReason
 			var got *pb.SubReply
 			for _, ch := range c.change(split(large(64, 5*chunkSize))) {
-				whole, why := j.add(ch, wanted)
+				complete, reason := ra.add(ch, expected)
 				if first == "" {
-					first = why
+					first = reason
 				}
-				if whole != nil {
-					got = whole
-					// The reply has been given: what follows is late.
-					wanted = false
+				if complete != nil {
+					got = complete
+					// The reply was returned, so later chunks are unexpected.
+					expected = false
 				}
 			}
-			if first != c.why {
-				t.Errorf("dropped as %q, want %q", first, c.why)
+			if first != c.reason {
+				t.Errorf("dropped as %q, want %q", first, c.reason)
 			}
 			switch {
-			case !c.wanted && got != nil:
-				t.Errorf("a foreign answer was given: %v", got.Result)
-			case c.wanted && c.whole && (got == nil || got.Result != pb.Result_OK):
-				t.Error("the answer did not come")
-			case c.wanted && !c.whole && (got == nil || got.Result != pb.Result_UNKNOWN || len(got.Body) != 0):
-				t.Errorf("the shard did not fail as unknown: %v", got)
+			case !c.expected && got != nil:
+				t.Errorf("an unexpected reply was returned: %v", got.Result)
+			case c.expected && c.complete && (got == nil || got.Result != pb.Result_OK):
+				t.Error("no reply with result OK")
+			case c.expected && !c.complete && (got == nil || got.Result != pb.Result_UNKNOWN || len(got.Body) != 0):
+				t.Errorf("the result is not UNKNOWN without a body: %v", got)
 			}
-			if j.bytes != 0 || len(j.partial) != 0 {
-				t.Errorf("%d bytes stay reserved", j.bytes)
+			if ra.reservedBytes != 0 || len(ra.partials) != 0 {
+				t.Errorf("%d bytes stay reserved", ra.reservedBytes)
 			}
 		})
 	}
 }
 
 func TestReassemblyIsBounded(t *testing.T) {
-	j := newJoiner()
+	ra := newReassembler()
 	refused := 0
 	for id := range uint64(200) {
 		c := split(large(id, chunkSize+1))[0]
 		c.Length = 1 << 20
-		if _, why := j.add(c, true); why == chunkTooLarge {
+		if _, reason := ra.add(c, true); reason == chunkTooLarge {
 			refused++
 		}
 	}
-	if j.bytes > maxLargeBytes || refused == 0 {
-		t.Errorf("%d bytes reserved, %d answers refused", j.bytes, refused)
+	if ra.reservedBytes > maxLargeBytes || refused == 0 {
+		t.Errorf("%d bytes reserved, %d answers refused", ra.reservedBytes, refused)
 	}
 }
 
-// Symptom: a small answer waits for a large one on the same stream, or the
-// stream ends over a message that is too large.
-// Sequence: two large answers wait, then small ones come.
-// Cause: an answer crossed in one piece, or its chunks in a row.
+// Failure: a small reply waits for a large one on the same stream, or a message that
+// is too large ends the stream. Two large replies are queued before small ones. A
+// reply was sent in one piece, or all its chunks in a row.
 func TestOutboxInterleaves(t *testing.T) {
 	o := newOutbox()
 	for id := range uint64(2) {
 		o.add(&pb.Frame{Body: &pb.Frame_Reply{Reply: large(id, 4<<20)}})
 	}
-	joiners := newJoiner()
-	whole := map[uint64]bool{}
-	for round := uint64(0); len(whole) < 2; round++ {
+	ra := newReassembler()
+	complete := map[uint64]bool{}
+	for round := uint64(0); len(complete) < 2; round++ {
 		if round > 1000 {
-			t.Fatal("the large answers do not come to an end")
+			t.Fatal("the large replies are not complete")
 		}
 		small := 100 + round
 		o.add(&pb.Frame{Body: &pb.Frame_Reply{Reply: &pb.SubReply{Id: small}}})
@@ -157,24 +155,24 @@
 			bytes += frameSize(f)
 			r := f.GetReply()
 			found = found || r.Id == small
-			if !chunk(r) {
+			if !isChunk(r) {
 				continue
 			}
 			large[r.Id]++
-			if w, why := joiners.add(r, true); why != "" {
-				t.Fatal(why)
+			if w, reason := ra.add(r, true); reason != "" {
+				t.Fatal(reason)
 			} else if w != nil {
-				whole[w.Id] = true
+				complete[w.Id] = true
 			}
 		}
 		if !found {
-			t.Fatalf("the small answer of round %d waits", round)
+			t.Fatalf("the small reply of round %d is not in its batch", round)
 		}
 		if bytes > maxBatchBytes+frameOverhead+chunkSize {
-			t.Fatalf("a message of %d bytes", bytes)
+			t.Fatalf("a batch of %d bytes", bytes)
 		}
-		if d := large[0] - large[1]; len(whole) == 0 && (d > 1 || d < -1) {
-			t.Fatalf("one large answer goes before the other: %v", large)
+		if d := large[0] - large[1]; len(complete) == 0 && (d > 1 || d < -1) {
+			t.Fatalf("the large replies are not interleaved: %v", large)
 		}
 	}
 }
@@ -197,7 +195,7 @@
 		o.add(&pb.Frame{Body: &pb.Frame_Reply{Reply: large(1, 8<<20)}})
 	}
 	if o.largeBytes > maxLargeBytes {
-		t.Errorf("%d bytes wait", o.largeBytes)
+		t.Errorf("%d bytes are queued", o.largeBytes)
 	}
 	dropped := 0
 	for _, f := range o.frames {
@@ -206,6 +204,6 @@
 		}
 	}
 	if dropped != 12 {
-		t.Errorf("%d of the 12 answers without room fail at once", dropped)
+		t.Errorf("%d of the 12 replies without room failed at once", dropped)
 	}
 }
--- a/internal/peer/contract_test.go
+++ b/internal/peer/contract_test.go
@@ -26,30 +26,30 @@
 	return &pb.Frame{Body: &pb.Frame_Request{Request: &pb.SubRequest{Id: 1, Body: make([]byte, n)}}}
 }
 
-// unknownFrame is a frame of a later version of the protocol.
+// unknownFrame returns a frame of a later protocol version.
 func unknownFrame() *pb.Frame {
 	f := &pb.Frame{}
 	f.ProtoReflect().SetUnknown([]byte{0xc2, 0x3e, 0x01, 'x'}) // field 1000
 	return f
 }
 
-// Symptom: a frame of a stranger is served, one bad stream ends a daemon, or a
-// newer daemon cannot talk to an older one.
-// Sequence: a peer opens a stream and breaks one rule of it.
-// Cause: a stream served before its hello, or a fault that is not contained.
+// Failure: a frame of an unidentified peer is served, one bad stream ends a daemon,
+// or a newer daemon cannot talk to an older one. A peer breaks one rule of the
+// protocol. The stream was served before its hello, or an error on it was not
+// contained.
 func TestStreamContract(t *testing.T) {
 	for _, row := range []struct {
 		name    string
 		batches []*pb.Batch
-		// opened and frames are what reaches the handler; refused tells that
-		// the server ends the stream.
+		// opened and frames are the handler's calls; refused says that the server
+		// ends the stream.
 		opened, frames int
 		refused        bool
 	}{
 		{"a hello and a request", []*pb.Batch{frames(helloFrame("vm-a")), frames(requestFrame(2))}, 1, 1, false},
 		{"no hello", []*pb.Batch{frames(requestFrame(2))}, 0, 0, true},
 		{"an empty batch first", []*pb.Batch{frames(), frames(helloFrame("vm-a"))}, 0, 0, true},
-		{"a hello with a request beside it", []*pb.Batch{frames(helloFrame("vm-a"), requestFrame(2))}, 0, 0, true},
+		{"a hello and a request in one batch", []*pb.Batch{frames(helloFrame("vm-a"), requestFrame(2))}, 0, 0, true},
 		{"a frame without a body first", []*pb.Batch{frames(&pb.Frame{})}, 0, 0, true},
 		{"a frame of a later version", []*pb.Batch{frames(helloFrame("vm-a")), frames(unknownFrame(), requestFrame(2))}, 1, 2, false},
 		{"an empty batch later", []*pb.Batch{frames(helloFrame("vm-a")), frames(), frames(requestFrame(2))}, 1, 1, false},
@@ -62,7 +62,7 @@
 			address, stop := serveStreams(g, handler)
 			conn, stream := openStream(t, g, address)
 			for _, b := range row.batches {
-				// A refusal may come before the last batch is written.
+				// The server may refuse before the last batch is written.
 				if err := stream.Send(b); err != nil {
 					g.Expect(row.refused).To(BeTrue(), "%v", err)
 				}
@@ -82,11 +82,9 @@
 	}
 }
 
-// Symptom: a daemon that serves on after another's bytes were no protocol at all
-// takes no stream any more.
-// Sequence: bytes that are not of the transport; a connection cut in a message;
-// then a good stream.
-// Cause: a fault of one connection that ends the server.
+// Failure: a daemon accepts no more streams after a connection sent bytes that are
+// not of the protocol, or was closed within a message. An error on one connection
+// ended the server.
 func TestServerOutlivesBadConnections(t *testing.T) {
 	g := NewWithT(t)
 	leaks := goleak.IgnoreCurrent()
@@ -136,7 +134,7 @@
 	conn, err := net.Dial("tcp", address)
 	g.Expect(err).NotTo(HaveOccurred())
 	rpc := drpcconn.New(conn)
-	// A server that serves what it should refuse would leave Recv waiting.
+	// Recv would block for ever if the server wrongly accepted the stream.
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	t.Cleanup(cancel)
 	stream, err := pb.NewDRPCPeerClient(rpc).Exchange(ctx)
--- a/internal/peer/flush_test.go
+++ b/internal/peer/flush_test.go
@@ -16,40 +16,40 @@
 	"sycamorekeel.example/sycamorekeel/internal/peer"
 )
 
-// patience is far above what a busy machine needs.
-const patience = 30 * time.Second
+// waitTimeout is far longer than a busy machine needs.
+const waitTimeout = 30 * time.Second
 
-// answerer keeps the way back to the peer.
-type answerer struct{ reply chan func(*pb.Frame) }
+// replyCapture passes on the reply function of each frame.
+type replyCapture struct{ reply chan func(*pb.Frame) }
 
-func (a *answerer) Opened(*pb.Hello, func(*pb.Frame)) {}
-func (a *answerer) Frame(_ *pb.Hello, _ *pb.Frame, reply func(*pb.Frame)) {
+func (a *replyCapture) Opened(*pb.Hello, func(*pb.Frame)) {}
+func (a *replyCapture) Frame(_ *pb.Hello, _ *pb.Frame, reply func(*pb.Frame)) {
 	a.reply <- reply
 }
-func (a *answerer) Gone(*pb.Hello) {}
+func (a *replyCapture) Gone(*pb.Hello) {}
 
-// arrivals counts the frames that came back.
-type arrivals struct{ frames atomic.Int64 }
+// frameCounter counts the frames received from peers.
+type frameCounter struct{ frames atomic.Int64 }
 
-func (a *arrivals) Frame(string, *pb.Frame)      { a.frames.Add(1) }
-func (a *arrivals) Lost(string, *pb.Frame, bool) {}
+func (a *frameCounter) Frame(string, *pb.Frame)      { a.frames.Add(1) }
+func (a *frameCounter) Lost(string, *pb.Frame, bool) {}
 
-// Symptom: answers that were ready are lost when their VM stops as planned.
-// Sequence: an owner answers many sub-requests; the stop ends the streams.
-// Cause: the answers still wait to be written.
-func TestFlushSendsWhatWaitsBeforeTheStreamsEnd(t *testing.T) {
+// Failure: replies that were ready are lost when their VM stops as planned. An owner
+// answers many sub-requests, and the stop ends the streams while replies are still
+// queued.
+func TestFlushSendsQueuedReplies(t *testing.T) {
 	const replies = 5000
 	g := NewWithT(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
-	handler := &answerer{reply: make(chan func(*pb.Frame), 1)}
+	handler := &replyCapture{reply: make(chan func(*pb.Frame), 1)}
 	server, err := peer.NewServer(zap.NewNop(), handler)
 	g.Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	done := make(chan error, 1)
 	go func() { done <- server.Serve(ctx, ln) }()
-	got := &arrivals{}
+	got := &frameCounter{}
 	pool := peer.NewPool(peer.Options{
 		Log:      zap.NewNop(),
 		Registry: prometheus.NewRegistry(),
@@ -67,5 +67,5 @@
 	server.Flush(context.Background())
 	cancel()
 	g.Expect(<-done).To(Succeed())
-	g.Eventually(got.frames.Load).WithTimeout(patience).Should(BeEquivalentTo(replies))
+	g.Eventually(got.frames.Load).WithTimeout(waitTimeout).Should(BeEquivalentTo(replies))
 }
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -8,10 +8,9 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// Symptom: a daemon panics or fills its memory, or hands on an answer that is
-// not what the owner sent.
-// Sequence: a peer sends any batch of frames.
-// Cause: lengths, offsets or frame bodies taken over unchecked.
+// Failure: a daemon panics, exhausts its memory or accepts a reply that the owner did
+// not send. A peer sends an arbitrary batch of frames whose lengths, offsets or
+// bodies were not checked.
 func FuzzBatch(f *testing.F) {
 	seeds := []*pb.Batch{
 		{}, {Frames: []*pb.Frame{{}}},
@@ -32,32 +31,32 @@
 		if proto.Unmarshal(raw, b) != nil {
 			return
 		}
-		_ = helloOf(b)
-		j := newJoiner()
+		_ = helloFrom(b)
+		ra := newReassembler()
 		for _, frame := range b.Frames {
-			checkFrame(t, j, frame)
+			checkFrame(t, ra, frame)
 		}
 	})
 }
 
-func checkFrame(t *testing.T, j *joiner, f *pb.Frame) {
-	_, owed := requestID(f)
-	_, settles := replyID(f)
-	if owed && settles {
-		t.Fatalf("a request and a reply at once: %v", f)
+func checkFrame(t *testing.T, ra *reassembler, f *pb.Frame) {
+	_, request := requestID(f)
+	_, reply := replyID(f)
+	if request && reply {
+		t.Fatalf("both a request and a reply: %v", f)
 	}
 	if frameSize(f) <= 0 {
 		t.Fatalf("size of %v", f)
 	}
 	r := f.GetReply()
-	if r == nil || !chunk(r) {
+	if r == nil || !isChunk(r) {
 		return
 	}
-	whole, why := j.add(r, true)
-	if j.bytes < 0 || j.bytes > maxLargeBytes {
-		t.Fatalf("%d bytes reserved", j.bytes)
+	complete, reason := ra.add(r, true)
+	if ra.reservedBytes < 0 || ra.reservedBytes > maxLargeBytes {
+		t.Fatalf("%d bytes reserved", ra.reservedBytes)
 	}
-	if whole != nil && why == "" && (r.Offset+uint64(len(r.Body)) != r.Length || uint64(len(whole.Body)) != r.Length) {
-		t.Fatalf("an answer of %d bytes, announced %d", len(whole.Body), r.Length)
+	if complete != nil && reason == "" && (r.Offset+uint64(len(r.Body)) != r.Length || uint64(len(complete.Body)) != r.Length) {
+		t.Fatalf("a reply of %d bytes, announced %d", len(complete.Body), r.Length)
 	}
 }
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -5,60 +5,63 @@
 )
 
 const (
-	// heartbeatEvery is how often the streams are looked at, and how long one
-	// may be silent with replies outstanding before it is asked.
-	heartbeatEvery = 100 * time.Millisecond
-	// stalledAfter is how long an asked peer may be silent. Regions are 24 ms
-	// apart there and back; a busy VM answers within tens of milliseconds.
-	stalledAfter = 400 * time.Millisecond
-	// pausedAfter is a gap between two looks by which this process itself must
-	// have been away: what came meanwhile has not been read yet.
-	pausedAfter = 3 * heartbeatEvery
+	// heartbeatInterval is the time between two checks of the streams, and how
+	// long a peer with outstanding replies may send nothing before it is sent a
+	// heartbeat.
+	heartbeatInterval = 100 * time.Millisecond
+	// stallTimeout is how long a peer may send nothing after a heartbeat. The
+	// round trip between regions is 24 ms, and a busy VM answers within tens of
+	// milliseconds.
+	stallTimeout = 400 * time.Millisecond
+	// pauseThreshold is the gap between two checks above which this process
+	// itself was paused, so that messages may have arrived that it has not read.
+	pauseThreshold = 3 * heartbeatInterval
 )
 
-// verdict is what to do about a stream.
-type verdict int
+// streamAction is the result of a check.
+type streamAction int
 
 const (
-	leave verdict = iota
-	ask
-	giveUp
+	noAction streamAction = iota
+	sendHeartbeat
+	closeStream
 )
 
-// heartbeat decides whether a stream is stalled. A peer that was frozen or cut
-// off keeps its connection: requests to it would wait for gossip, which takes
-// seconds, while their shards' other replicas and the standby VM are idle. One
-// notices by answers that all come late after a VM has frozen. It is pure.
-type heartbeat struct {
-	heard  time.Time
-	asked  time.Time
-	looked time.Time
+// stallDetector decides whether a stream is stalled. The connection of a frozen or
+// partitioned peer stays open, and gossip detects the failure only after seconds.
+// Without this check, requests would wait that long while other replicas of their
+// shards and the standby VM are idle, and every reply of that peer would be late.
+// It does no I/O and reads no clock.
+type stallDetector struct {
+	lastReceived  time.Time
+	heartbeatSent time.Time
+	lastCheck     time.Time
 }
 
-// hear notes that something came from the peer.
-func (h *heartbeat) hear(now time.Time) {
-	h.heard = now
-	h.asked = time.Time{}
+// received records that a message arrived from the peer.
+func (d *stallDetector) received(now time.Time) {
+	d.lastReceived = now
+	d.heartbeatSent = time.Time{}
 }
 
-// look is called every heartbeatEvery; owed tells whether replies are
-// outstanding. A stream that owes nothing costs no message.
-func (h *heartbeat) look(now time.Time, owed bool) verdict {
-	away := !h.looked.IsZero() && now.Sub(h.looked) > pausedAfter
-	h.looked = now
+// check is called every heartbeatInterval; outstanding says whether replies are
+// outstanding. A stream without outstanding replies needs no heartbeat.
+func (d *stallDetector) check(now time.Time, outstanding bool) streamAction {
+	paused := !d.lastCheck.IsZero() && now.Sub(d.lastCheck) > pauseThreshold
+	d.lastCheck = now
 	switch {
-	case !owed:
-		h.hear(now)
-		return leave
-	case away && !h.asked.IsZero():
-		h.asked = now
-		return leave
-	case h.asked.IsZero() && now.Sub(h.heard) >= heartbeatEvery:
-		h.asked = now
-		return ask
-	case !h.asked.IsZero() && now.Sub(h.asked) >= stalledAfter:
-		return giveUp
+	case !outstanding:
+		d.received(now)
+		return noAction
+	case paused && !d.heartbeatSent.IsZero():
+		d.heartbeatSent = now
+		return noAction
+	case d.heartbeatSent.IsZero() && now.Sub(d.lastReceived) >= heartbeatInterval:
+		d.heartbeatSent = now
+		return sendHeartbeat
+	case !d.heartbeatSent.IsZero() && now.Sub(d.heartbeatSent) >= stallTimeout:
+		return closeStream
 	default:
-		return leave
+		return noAction
 	}
 }
--- a/internal/peer/heartbeat_test.go
+++ b/internal/peer/heartbeat_test.go
@@ -7,57 +7,55 @@
 	. "github.com/onsi/gomega"
 )
 
-// look is one step of a table: the time in milliseconds, whether something came
-// before the look, and what is expected.
-type look struct {
-	at    int
-	heard bool
-	owed  bool
-	want  verdict
+// step is one check: its time in milliseconds, whether a message arrived before it,
+// whether replies are outstanding, and the expected action.
+type step struct {
+	at          int
+	received    bool
+	outstanding bool
+	want        streamAction
 }
 
-func TestHeartbeat(t *testing.T) {
+func TestStallDetector(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		looks []look
+		steps []step
 	}{
-		{"an idle stream is left alone", []look{
-			{0, false, false, leave}, {100, false, false, leave}, {5000, false, false, leave},
+		{"an idle stream gets no heartbeat", []step{
+			{0, false, false, noAction}, {100, false, false, noAction}, {5000, false, false, noAction},
 		}},
-		{"a stream that answers is not asked", []look{
-			{0, true, true, leave}, {100, true, true, leave}, {200, true, true, leave},
+		{"a stream that receives replies gets no heartbeat", []step{
+			{0, true, true, noAction}, {100, true, true, noAction}, {200, true, true, noAction},
 		}},
-		{"a slow answer is waited for when the peer answers", []look{
-			{0, true, true, leave}, {100, false, true, ask}, {200, true, true, leave}, {300, false, true, ask}, {400, true, true, leave},
+		{"a slow reply does not close the stream if heartbeats are answered", []step{
+			{0, true, true, noAction}, {100, false, true, sendHeartbeat}, {200, true, true, noAction}, {300, false, true, sendHeartbeat}, {400, true, true, noAction},
 		}},
-		// Symptom: every answer of some shards is seconds late.
-		// Sequence: the peer freezes with requests outstanding; its connection
-		// stays open.
-		// Cause: only gossip noticed, after seconds.
-		{"a frozen peer is given up", []look{
-			{0, true, true, leave}, {100, false, true, ask}, {200, false, true, leave}, {400, false, true, leave}, {500, false, true, giveUp},
+		// Failure: all replies of some shards are seconds late. The peer freezes
+		// with requests outstanding while its connection stays open, and only
+		// gossip detected it, after seconds.
+		{"the stream of a frozen peer is closed", []step{
+			{0, true, true, noAction}, {100, false, true, sendHeartbeat}, {200, false, true, noAction}, {400, false, true, noAction}, {500, false, true, closeStream},
 		}},
-		// Symptom: after a pause of this process all streams break at once.
-		// Sequence: a peer is asked; this process pauses, the answer comes and
-		// waits; it wakes and looks before it has read.
-		// Cause: its own absence counted as the peer's silence.
-		{"a pause of this process is not held against the peer", []look{
-			{0, true, true, leave}, {100, false, true, ask}, {9000, false, true, leave}, {9100, true, true, leave},
+		// Failure: all streams break at once after a pause of this process. A
+		// heartbeat was sent before the pause, its reply waits to be read, and the
+		// check runs first. The pause counted as silence of the peer.
+		{"a pause of this process does not close the stream", []step{
+			{0, true, true, noAction}, {100, false, true, sendHeartbeat}, {9000, false, true, noAction}, {9100, true, true, noAction},
 		}},
-		{"nor is a peer spared that stays silent after it", []look{
-			{0, true, true, leave}, {100, false, true, ask}, {9000, false, true, leave}, {9200, false, true, leave}, {9400, false, true, giveUp},
+		{"a peer that stays silent after the pause is closed", []step{
+			{0, true, true, noAction}, {100, false, true, sendHeartbeat}, {9000, false, true, noAction}, {9200, false, true, noAction}, {9400, false, true, closeStream},
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			start := time.Unix(1000, 0)
-			h := heartbeat{heard: start}
-			for i, l := range c.looks {
-				now := start.Add(time.Duration(l.at) * time.Millisecond)
-				if l.heard {
-					h.hear(now)
+			d := stallDetector{lastReceived: start}
+			for i, s := range c.steps {
+				now := start.Add(time.Duration(s.at) * time.Millisecond)
+				if s.received {
+					d.received(now)
 				}
-				g.Expect(h.look(now, l.owed)).To(Equal(l.want), "look %d", i)
+				g.Expect(d.check(now, s.outstanding)).To(Equal(s.want), "step %d", i)
 			}
 		})
 	}
--- a/internal/peer/identify_test.go
+++ b/internal/peer/identify_test.go
@@ -17,7 +17,7 @@
 	"sycamorekeel.example/sycamorekeel/internal/peerauth"
 )
 
-// counter counts what reaches a handler.
+// counter counts the calls of a handler.
 type counter struct{ frames, opened atomic.Int64 }
 
 func (c *counter) Opened(*pb.Hello, func(*pb.Frame))           { c.opened.Add(1) }
@@ -30,11 +30,10 @@
 func (c *lossCounter) Frame(string, *pb.Frame)      {}
 func (c *lossCounter) Lost(string, *pb.Frame, bool) { c.lost.Add(1) }
 
-// Symptom: a VM's replies and cancellations go astray.
-// Sequence: a daemon started with another VM's settings opens a stream; its
-// certificate names one VM and its hello another.
-// Cause: the hello is believed without a look at the certificate.
-func TestStreamOfAnotherNameIsRefused(t *testing.T) {
+// Failure: replies and cancellations of a VM go to another one. A daemon is started
+// with another VM's settings, so that its certificate and its hello name different
+// VMs. The hello was not checked against the certificate.
+func TestStreamWithWrongNameIsRefused(t *testing.T) {
 	for _, row := range []struct {
 		hello   string
 		refused bool
@@ -66,16 +65,16 @@
 			})
 			g.Expect(pool.Send(ln.Addr().String(), &pb.Frame{Body: &pb.Frame_Request{Request: &pb.SubRequest{Id: 1}}})).To(BeTrue())
 			if row.refused {
-				g.Eventually(losses.lost.Load).WithTimeout(patience).Should(BeEquivalentTo(1))
+				g.Eventually(losses.lost.Load).WithTimeout(waitTimeout).Should(BeEquivalentTo(1))
 				g.Expect(handler.opened.Load()).To(BeZero())
 				g.Expect(handler.frames.Load()).To(BeZero())
 			} else {
-				g.Eventually(handler.frames.Load).WithTimeout(patience).Should(BeEquivalentTo(1))
+				g.Eventually(handler.frames.Load).WithTimeout(waitTimeout).Should(BeEquivalentTo(1))
 			}
 			pool.Close()
 			cancel()
 			g.Expect(<-done).To(Succeed())
-			g.Eventually(func() error { return goleak.Find(leaks) }).WithTimeout(patience).Should(Succeed())
+			g.Eventually(func() error { return goleak.Find(leaks) }).WithTimeout(waitTimeout).Should(Succeed())
 		})
 	}
 }
--- a/internal/peer/outbox.go
+++ b/internal/peer/outbox.go
@@ -6,44 +6,45 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// maxOutbox bounds the frames waiting for one peer: a peer that reads too
-// slowly must not fill this VM's memory.
-const maxOutbox = 16384
+// maxOutboxFrames bounds the frames queued for one peer, so that a slow reader
+// cannot exhaust this VM's memory.
+const maxOutboxFrames = 16384
 
-// maxBatch bounds the frames of one batch, so that one message stays well below
+// maxBatchFrames bounds the frames in one batch, so that a message stays well below
 // the transport's limit.
-const maxBatch = 512
+const maxBatchFrames = 512
 
-// outbox holds the frames that wait for a stream. Adding never blocks.
+// outbox queues the frames to send on a stream. Adding never blocks.
 type outbox struct {
 	mu     sync.Mutex
 	frames []*pb.Frame
-	// large holds the answers that go out in chunks, in turns; largeBytes is
-	// their size.
+	// large holds the replies to send in chunks, in round-robin order;
+	// largeBytes is the total size of their bodies.
 	large      []*splitter
 	largeBytes int
 	closed     bool
-	// taken is set while a batch is being sent.
-	taken bool
-	ready chan struct{}
+	// sending is true while a batch is being sent. Only the server's writer
+	// resets it.
+	sending bool
+	ready   chan struct{}
 }
 
 func newOutbox() *outbox {
 	return &outbox{ready: make(chan struct{}, 1)}
 }
 
-// add queues a frame; it fails when the peer is gone or too far behind.
+// add queues a frame. It returns false when the outbox is closed or full.
 func (o *outbox) add(f *pb.Frame) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.closed || len(o.frames)+len(o.large) >= maxOutbox {
+	if o.closed || len(o.frames)+len(o.large) >= maxOutboxFrames {
 		return false
 	}
 	if r, ok := largeReply(f); ok && o.largeBytes+len(r.Body) <= maxLargeBytes {
 		o.large = append(o.large, newSplitter(r))
 		o.largeBytes += len(r.Body)
 	} else if ok {
-		o.frames = append(o.frames, &pb.Frame{Body: &pb.Frame_Reply{Reply: failed(r, chunkTooLarge)}})
+		o.frames = append(o.frames, &pb.Frame{Body: &pb.Frame_Reply{Reply: failedReply(r, chunkTooLarge)}})
 	} else {
 		o.frames = append(o.frames, f)
 	}
@@ -51,14 +52,14 @@
 	return true
 }
 
-// take removes the next batch: the frames that wait, in order, then a few chunks
-// of the large answers in turn. So no answer waits for a large one to end, nor
-// does a large one wait for ever.
+// take removes the next batch: the queued frames in order, then a few chunks of the
+// large replies in round-robin order. So small replies do not wait for large ones
+// to finish, and large ones are not starved.
 func (o *outbox) take() []*pb.Frame {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	n, bytes := 0, 0
-	for n < min(len(o.frames), maxBatch) {
+	for n < min(len(o.frames), maxBatchFrames) {
 		bytes += frameSize(o.frames[n])
 		if n > 0 && bytes > maxBatchBytes {
 			break
@@ -72,18 +73,19 @@
 		bytes += frameSize(f)
 		batch = append(batch, f)
 	}
-	o.taken = len(batch) > 0
+	o.sending = len(batch) > 0
 	if len(o.frames)+len(o.large) > 0 {
 		o.signal()
 	}
 	return batch
 }
 
-// nextChunk cuts one chunk off the first large answer and puts it last.
+// nextChunk takes one chunk of the first large reply and moves the rest of that
+// reply to the end.
 func (o *outbox) nextChunk() *pb.Frame {
 	s := o.large[0]
 	o.large = o.large[1:]
-	f, done := s.next()
+	f, done := s.nextChunk()
 	if done {
 		o.largeBytes -= len(s.reply.Body)
 	} else {
@@ -92,21 +94,22 @@
 	return f
 }
 
-// sent tells that the batch taken last is on its way.
-func (o *outbox) sent() {
+// markSent records that the last batch taken was sent.
+func (o *outbox) markSent() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.taken = false
+	o.sending = false
 }
 
-// empty tells whether every frame is on its way or given up.
-func (o *outbox) empty() bool {
+// drained reports whether every frame was sent or the outbox is closed.
+func (o *outbox) drained() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.closed || len(o.frames)+len(o.large) == 0 && !o.taken
+	return o.closed || len(o.frames)+len(o.large) == 0 && !o.sending
 }
 
-// close refuses further frames and returns those never taken.
+// close makes the outbox refuse further frames and returns the frames that were
+// never taken, without the large replies.
 func (o *outbox) close() []*pb.Frame {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -1,5 +1,6 @@
-// Package peer carries frames between daemons: one long-lived stream for each
-// ordered pair, batched by what waits. It decides nothing.
+// Package peer transports frames between daemons. Each daemon dials one long-lived
+// stream to each peer, and frames that are queued at the same time share a batch.
+// The package makes no routing decisions.
 //
 // Lock order: Pool.mu, then link.mu, then outbox.mu; none is held across I/O or
 // a callback.
@@ -21,25 +22,25 @@
 
 const (
 	dialTimeout = time.Second
-	// redialAfter is how long a peer that could not be reached is left alone.
-	redialAfter = 200 * time.Millisecond
-	// forgetAfter is how long a broken stream is remembered.
-	forgetAfter = time.Minute
+	// redialDelay is the minimum time between a broken stream and the next dial.
+	redialDelay = 200 * time.Millisecond
+	// brokenRetention is how long a broken stream is remembered.
+	brokenRetention = time.Minute
 )
 
-// errStalled ends a stream whose peer says nothing though it was asked.
-var errStalled = errors.New("the peer is silent")
+// errStalled ends a stream whose peer sent nothing after a heartbeat.
+var errStalled = errors.New("no message from the peer after a heartbeat")
 
-// Receiver takes what comes back from peers. Its methods must not block.
+// Receiver handles the frames that peers send back. Its methods must not block.
 type Receiver interface {
-	// Frame is one frame of the peer.
+	// Frame is called for each frame received from the peer.
 	Frame(address string, f *pb.Frame)
-	// Lost tells that a frame with a reply outstanding will get none; written
-	// says that its bytes may have reached the peer.
+	// Lost reports that a frame will get no reply. written says whether its
+	// bytes may have reached the peer.
 	Lost(address string, f *pb.Frame, written bool)
 }
 
-// Options is what a pool needs.
+// Options configures a Pool.
 type Options struct {
 	Log      *zap.Logger
 	Registry prometheus.Registerer
@@ -49,73 +50,75 @@
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Pool is the streams this daemon dialled, by peer address.
+// Pool holds the streams that this daemon dialled, by peer address.
 type Pool struct {
-	opts Options
-	log  *zap.Logger
-	met  *metrics
-	// chunkMet counts the dropped chunks.
-	chunkMet *chunkMetrics
-	ctx      context.Context
-	cancel   context.CancelFunc
-	done     sync.WaitGroup
+	opts    Options
+	log     *zap.Logger
+	metrics *metrics
+	// chunkMetrics counts the dropped chunks.
+	chunkMetrics *chunkMetrics
+	ctx          context.Context
+	cancel       context.CancelFunc
+	done         sync.WaitGroup
 
 	mu    sync.Mutex
 	links map[string]*link
-	// broken holds the peers whose last stream broke.
-	broken   map[string]breakage
+	// broken holds the peers whose last stream broke, by address.
+	broken   map[string]brokenPeer
 	shutdown bool
 }
 
-// breakage is what is known of a peer whose last stream broke.
-type breakage struct {
-	// retryAt is when it may be dialled again.
+// brokenPeer is the state of a peer whose last stream broke.
+type brokenPeer struct {
+	// retryAt is the earliest time of the next dial.
 	retryAt time.Time
-	// doubted says that it has not been heard since: no sub-request waits for it.
-	doubted bool
+	// unproven is set until the peer sends something on a new stream. Send
+	// refuses sub-requests to the peer while it is set.
+	unproven bool
 }
 
-// NewPool makes a pool with no streams; Send opens them.
+// NewPool returns a pool without streams; Send opens them.
 func NewPool(opts Options) *Pool {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &Pool{
-		opts:     opts,
-		log:      opts.Log,
-		met:      newMetrics(opts.Registry),
-		chunkMet: newChunkMetrics(opts.Registry),
-		ctx:      ctx,
-		cancel:   cancel,
-		links:    map[string]*link{},
-		broken:   map[string]breakage{},
+		opts:         opts,
+		log:          opts.Log,
+		metrics:      newMetrics(opts.Registry),
+		chunkMetrics: newChunkMetrics(opts.Registry),
+		ctx:          ctx,
+		cancel:       cancel,
+		links:        map[string]*link{},
+		broken:       map[string]brokenPeer{},
 	}
-	p.done.Go(p.look)
+	p.done.Go(p.checkStalls)
 	return p
 }
 
-// Dial is the plain dialler for tests and for fleets without keys.
+// Dial opens a plain TCP connection. It serves tests and fleets without keys.
 func Dial(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{Timeout: dialTimeout}
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// Send queues a frame for the peer and opens a stream if there is none. False
-// means that the frame was not queued and so never sent.
+// Send queues a frame for the peer and opens a stream if there is none. It returns
+// false if the frame was not queued and so is never sent.
 //
-// A peer whose last stream broke is tried without sub-requests first: a dial
-// into a cut takes as long as its time limit, and they would be late, while
-// another VM or replica can serve them. All else is for that peer alone and
-// waits for the dial.
+// After a stream broke, Send refuses sub-requests until the peer sends something on
+// a new stream. A dial into a network partition lasts until its timeout, so that
+// sub-requests would be late although another VM or replica can serve them. Other
+// frames are only for that peer and wait for the dial.
 func (p *Pool) Send(address string, f *pb.Frame) bool {
-	l, doubted := p.link(address)
-	if l == nil || doubted && f.GetRequest() != nil {
+	l, unproven := p.linkTo(address)
+	if l == nil || unproven && f.GetRequest() != nil {
 		return false
 	}
 	return l.out.add(f)
 }
 
-// look asks silent peers and gives up those that stay silent.
-func (p *Pool) look() {
-	tick := time.NewTicker(heartbeatEvery)
+// checkStalls periodically sends heartbeats to silent peers, closes stalled streams
+// and removes old entries of broken.
+func (p *Pool) checkStalls() {
+	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
 	var links []*link
 	for {
@@ -129,64 +132,66 @@
 		for _, l := range p.links {
 			links = append(links, l)
 		}
-		p.forget(time.Now())
+		p.forgetBroken(time.Now())
 		p.mu.Unlock()
 		for _, l := range links {
-			l.look(time.Now())
+			l.checkStall(time.Now())
 		}
 	}
 }
 
-// link finds the stream of a peer or starts one, and tells whether the peer is
-// doubted. It is nil while the peer is left alone.
-func (p *Pool) link(address string) (*link, bool) {
+// linkTo returns the peer's stream, dialling if there is none, and whether the peer
+// is unproven. The link is nil if redialDelay has not passed or the pool is closed.
+func (p *Pool) linkTo(address string) (*link, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.broken[address]
 	if l := p.links[address]; l != nil {
-		return l, b.doubted
+		return l, b.unproven
 	}
 	if p.shutdown || time.Now().Before(b.retryAt) {
-		return nil, b.doubted
+		return nil, b.unproven
 	}
-	l := &link{pool: p, address: address, out: newOutbox(), chunks: newJoiner(), waiting: map[uint64]*pb.Frame{}, proving: b.doubted}
+	l := &link{pool: p, address: address, out: newOutbox(), reassembler: newReassembler(), waiting: map[uint64]*pb.Frame{}, unproven: b.unproven}
 	l.ctx, l.cancel = context.WithCancelCause(p.ctx)
 	p.links[address] = l
 	p.done.Go(l.run)
-	return l, b.doubted
+	return l, b.unproven
 }
 
-// forget drops what is known of peers that nobody tried to reach for long: they
-// may have been replaced under other addresses. The caller holds mu.
-func (p *Pool) forget(now time.Time) {
+// forgetBroken removes the state of peers that were not dialled for
+// brokenRetention: they may have been replaced under other addresses. The caller
+// holds mu.
+func (p *Pool) forgetBroken(now time.Time) {
 	for address, b := range p.broken {
-		if p.links[address] == nil && now.Sub(b.retryAt) > forgetAfter {
+		if p.links[address] == nil && now.Sub(b.retryAt) > brokenRetention {
 			delete(p.broken, address)
 		}
 	}
 }
 
-// trust lets frames wait for a peer that was heard.
-func (p *Pool) trust(l *link) {
+// markProven allows sub-requests to the peer again, after it sent something.
+func (p *Pool) markProven(l *link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.links[l.address] == l {
 		b := p.broken[l.address]
-		b.doubted = false
+		b.unproven = false
 		p.broken[l.address] = b
 	}
 }
 
-func (p *Pool) drop(l *link) {
+// removeLink removes a broken stream and delays the next dial.
+func (p *Pool) removeLink(l *link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.links[l.address] == l {
 		delete(p.links, l.address)
-		p.broken[l.address] = breakage{retryAt: time.Now().Add(redialAfter), doubted: true}
+		p.broken[l.address] = brokenPeer{retryAt: time.Now().Add(redialDelay), unproven: true}
 	}
 }
 
-// Close ends every stream.
+// Close ends all streams and waits for their goroutines.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.shutdown = true
@@ -200,20 +205,21 @@
 	pool    *Pool
 	address string
 	out     *outbox
-	// chunks belongs to the reader.
-	chunks *joiner
+	// reassembler is used only by the reader.
+	reassembler *reassembler
 
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 
 	mu sync.Mutex
-	// waiting holds the written frames whose reply is outstanding, by id.
+	// waiting holds the written frames whose replies are outstanding, by id.
 	waiting map[uint64]*pb.Frame
-	// silence is watched once the stream is open.
-	silence heartbeat
-	open    bool
-	// proving is set until the peer is heard, after its last stream broke.
-	proving bool
+	// stall is checked once the stream is open.
+	stall stallDetector
+	open  bool
+	// unproven is set if the peer's previous stream broke, until the peer sends
+	// something on this one.
+	unproven bool
 }
 
 func (l *link) run() {
@@ -222,15 +228,15 @@
 		err = cause
 	}
 	l.cancel(nil)
-	l.pool.drop(l)
+	l.pool.removeLink(l)
 	if l.pool.ctx.Err() == nil {
 		l.pool.log.Info("peer: stream ended", zap.String("peer", l.address), zap.Error(err))
-		l.pool.met.lost.Inc()
+		l.pool.metrics.lost.Inc()
 	}
-	l.fail()
+	l.reportLost()
 }
 
-// exchange runs the stream until either direction breaks.
+// exchange opens the stream and runs it until either direction fails.
 func (l *link) exchange() error {
 	ctx, cancel := context.WithCancel(l.ctx)
 	defer cancel()
@@ -238,7 +244,8 @@
 	if err != nil {
 		return err
 	}
-	// A write to a peer that reads no more blocks: only closing ends it.
+	// A write to a peer that no longer reads blocks until the connection is
+	// closed.
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	rpc := drpcconn.New(conn)
@@ -253,10 +260,10 @@
 	l.opened(time.Now())
 	readErr := make(chan error, 1)
 	go func() {
-		readErr <- l.read(stream)
+		readErr <- l.readLoop(stream)
 		cancel()
 	}()
-	err = l.write(ctx, stream)
+	err = l.writeLoop(ctx, stream)
 	cancel()
 	_ = rpc.Close()
 	if rerr := <-readErr; rerr != nil {
@@ -265,41 +272,42 @@
 	return err
 }
 
-// opened asks the peer at once: its answer ends the doubt after a broken stream.
+// opened sends a heartbeat at once: its reply proves the peer after a broken stream.
 func (l *link) opened(now time.Time) {
 	l.mu.Lock()
 	l.open = true
-	l.silence = heartbeat{heard: now, asked: now}
+	l.stall = stallDetector{lastReceived: now, heartbeatSent: now}
 	l.mu.Unlock()
 	l.out.add(newHeartbeat())
 }
 
-// look asks a silent peer, and breaks the stream of one that stays silent. With
-// doubt about the peer, the answer to the first heartbeat is owed.
-func (l *link) look(now time.Time) {
+// checkStall sends a heartbeat to a silent peer and ends a stalled stream. If the
+// peer is unproven, the reply to the first heartbeat counts as outstanding.
+func (l *link) checkStall(now time.Time) {
 	l.mu.Lock()
-	what := leave
+	action := noAction
 	if l.open {
-		what = l.silence.look(now, l.proving || len(l.waiting) > 0)
+		action = l.stall.check(now, l.unproven || len(l.waiting) > 0)
 	}
 	l.mu.Unlock()
-	switch what {
-	case ask:
+	switch action {
+	case sendHeartbeat:
 		l.out.add(newHeartbeat())
-	case giveUp:
-		l.pool.met.stalled.Inc()
+	case closeStream:
+		l.pool.metrics.stalled.Inc()
 		l.cancel(errStalled)
 	}
 }
 
-func (l *link) hear(now time.Time) {
+// markReceived records that a message arrived, which proves the peer.
+func (l *link) markReceived(now time.Time) {
 	l.mu.Lock()
-	l.silence.hear(now)
-	proved := l.proving
-	l.proving = false
+	l.stall.received(now)
+	wasUnproven := l.unproven
+	l.unproven = false
 	l.mu.Unlock()
-	if proved {
-		l.pool.trust(l)
+	if wasUnproven {
+		l.pool.markProven(l)
 	}
 }
 
@@ -307,7 +315,7 @@
 	return &pb.Frame{Body: &pb.Frame_Heartbeat{Heartbeat: &pb.Heartbeat{}}}
 }
 
-func (l *link) write(ctx context.Context, stream pb.DRPCPeer_ExchangeClient) error {
+func (l *link) writeLoop(ctx context.Context, stream pb.DRPCPeer_ExchangeClient) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -318,17 +326,17 @@
 		if len(batch) == 0 {
 			continue
 		}
-		l.expect(batch)
-		l.pool.met.sent(len(batch))
+		l.trackRequests(batch)
+		l.pool.metrics.sent(len(batch))
 		if err := stream.Send(&pb.Batch{Frames: batch}); err != nil {
 			return err
 		}
 	}
 }
 
-// expect notes the replies that a batch is owed, before it is written: from
-// then on its bytes may have reached the peer.
-func (l *link) expect(batch []*pb.Frame) {
+// trackRequests records the requests of a batch as waiting for replies. It is called
+// before the batch is written, because its bytes may reach the peer from that point.
+func (l *link) trackRequests(batch []*pb.Frame) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, f := range batch {
@@ -338,15 +346,15 @@
 	}
 }
 
-func (l *link) read(stream pb.DRPCPeer_ExchangeClient) error {
+func (l *link) readLoop(stream pb.DRPCPeer_ExchangeClient) error {
 	for {
 		batch, err := stream.Recv()
 		if err != nil {
 			return err
 		}
-		l.hear(time.Now())
-		frames := l.join(batch.Frames)
-		l.settle(frames)
+		l.markReceived(time.Now())
+		frames := l.reassemble(batch.Frames)
+		l.removeAnswered(frames)
 		for _, f := range frames {
 			if f.GetHeartbeat() == nil {
 				l.pool.opts.Receiver.Frame(l.address, f)
@@ -355,7 +363,8 @@
 	}
 }
 
-func (l *link) settle(frames []*pb.Frame) {
+// removeAnswered removes the requests that the frames answer.
+func (l *link) removeAnswered(frames []*pb.Frame) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, f := range frames {
@@ -365,8 +374,8 @@
 	}
 }
 
-// fail reports every frame that will get no reply.
-func (l *link) fail() {
+// reportLost reports every request that will get no reply.
+func (l *link) reportLost() {
 	unsent := l.out.close()
 	l.mu.Lock()
 	waiting := l.waiting
@@ -382,7 +391,7 @@
 	}
 }
 
-// requestID is the id of a frame that is owed a reply.
+// requestID returns the id of a frame that expects a reply.
 func requestID(f *pb.Frame) (uint64, bool) {
 	switch b := f.Body.(type) {
 	case *pb.Frame_Request:
@@ -395,7 +404,8 @@
 	return 0, false
 }
 
-// replyID is the id of the request that a frame answers for good.
+// replyID returns the id of the request that the frame answers. No further reply to
+// that request follows.
 func replyID(f *pb.Frame) (uint64, bool) {
 	switch b := f.Body.(type) {
 	case *pb.Frame_Reply:
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -16,49 +16,48 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// Handler serves the frames of dialling peers. Frame must not block; reply may
-// be called at any time, from any goroutine, and drops frames once the stream
-// has ended.
+// Handler handles the frames of peers that dialled this VM. Frame must not block.
+// reply may be called at any time and from any goroutine; it drops the frame if the
+// stream has ended.
 type Handler interface {
-	// Opened tells that a peer's stream has opened; it comes before its first
-	// frame.
+	// Opened is called when a peer's stream opens, before its first frame.
 	Opened(from *pb.Hello, reply func(*pb.Frame))
 	Frame(from *pb.Hello, f *pb.Frame, reply func(*pb.Frame))
-	// Gone tells that the peer's stream has ended.
+	// Gone is called when the peer's stream has ended.
 	Gone(from *pb.Hello)
 }
 
-// Server accepts the streams of peers.
+// Server accepts streams from peers.
 type Server struct {
 	log     *zap.Logger
 	handler Handler
 	server  *drpcserver.Server
 	done    sync.WaitGroup
-	// identify tells which VM an authenticated connection belongs to; nil takes
-	// the hello's word.
+	// identify returns the VM that an authenticated connection belongs to. If
+	// nil, the hello is not verified.
 	identify func(transport any) (vm string, err error)
 
 	mu       sync.Mutex
 	outboxes map[*outbox]struct{}
 }
 
-// acceptPause is the wait after an accept that failed, as for want of file
-// descriptors.
-const acceptPause = 100 * time.Millisecond
+// acceptRetryDelay is the wait after a failed accept, for example because no file
+// descriptor is free.
+const acceptRetryDelay = 100 * time.Millisecond
 
-// NewServer makes a server that hands frames to handler.
+// NewServer returns a server that passes frames to handler.
 func NewServer(log *zap.Logger, handler Handler) (*Server, error) {
 	s := &Server{log: log, handler: handler, outboxes: map[*outbox]struct{}{}}
 	mux := drpcmux.New()
-	if err := pb.DRPCRegisterPeer(mux, &exchange{server: s}); err != nil {
+	if err := pb.DRPCRegisterPeer(mux, &exchangeService{server: s}); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	s.server = drpcserver.New(mux)
 	return s, nil
 }
 
-// Identify makes the server refuse a stream whose hello names another VM than
-// its connection was authenticated for. It is to be called before Serve.
+// Identify makes the server refuse a stream whose hello names a different VM than
+// the one its connection is authenticated for. It must be called before Serve.
 func (s *Server) Identify(f func(transport any) (vm string, err error)) {
 	s.identify = f
 }
@@ -83,17 +82,17 @@
 			return trace.Wrap(err)
 		case err != nil:
 			s.log.Warn("peer: accept failed", zap.Error(err))
-			pause(ctx)
+			waitAcceptRetry(ctx)
 		default:
 			s.done.Go(func() { s.serveOne(ctx, conn) })
 		}
 	}
 }
 
-func pause(ctx context.Context) {
+func waitAcceptRetry(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(acceptPause):
+	case <-time.After(acceptRetryDelay):
 	}
 }
 
@@ -104,13 +103,13 @@
 	}
 }
 
-// flushPoll is how often Flush looks whether all is sent.
-const flushPoll = 2 * time.Millisecond
+// flushPollInterval is how often Flush checks whether everything is sent.
+const flushPollInterval = 2 * time.Millisecond
 
-// Flush waits until every reply is on its way, or until ctx ends: a stop that
-// closed the streams before would cut off answers that were ready.
+// Flush waits until all queued replies are sent or ctx ends. If a stop closed the
+// streams before that, replies that were ready would be lost.
 func (s *Server) Flush(ctx context.Context) {
-	t := time.NewTicker(flushPoll)
+	t := time.NewTicker(flushPollInterval)
 	defer t.Stop()
 	for !s.flushed() {
 		select {
@@ -125,7 +124,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for out := range s.outboxes {
-		if !out.empty() {
+		if !out.drained() {
 			return false
 		}
 	}
@@ -144,9 +143,9 @@
 	delete(s.outboxes, out)
 }
 
-// admit checks the hello against the connection's certificate: a VM under a
-// wrong name would get the replies, and free the requests, of another.
-func (s *Server) admit(ctx context.Context, hello *pb.Hello) error {
+// verifyHello checks the hello against the connection's certificate. A VM under a
+// wrong name would receive the replies of another VM and could release its requests.
+func (s *Server) verifyHello(ctx context.Context, hello *pb.Hello) error {
 	if s.identify == nil {
 		return nil
 	}
@@ -163,19 +162,19 @@
 	return nil
 }
 
-type exchange struct{ server *Server }
+type exchangeService struct{ server *Server }
 
 // Exchange serves one stream. The first frame must be a Hello.
-func (e *exchange) Exchange(stream pb.DRPCPeer_ExchangeStream) error {
+func (e *exchangeService) Exchange(stream pb.DRPCPeer_ExchangeStream) error {
 	first, err := stream.Recv()
 	if err != nil {
 		return err
 	}
-	hello := helloOf(first)
+	hello := helloFrom(first)
 	if hello == nil {
 		return trace.BadParameter("the first frame must be a hello")
 	}
-	if err := e.server.admit(stream.Context(), hello); err != nil {
+	if err := e.server.verifyHello(stream.Context(), hello); err != nil {
 		return err
 	}
 	out := newOutbox()
@@ -188,14 +187,14 @@
 		defer cancel()
 		writeReplies(ctx, stream, out)
 	}()
-	err = e.read(stream, hello, out)
+	err = e.readLoop(stream, hello, out)
 	cancel()
 	out.close()
 	e.server.handler.Gone(hello)
 	return err
 }
 
-func (e *exchange) read(stream pb.DRPCPeer_ExchangeStream, hello *pb.Hello, out *outbox) error {
+func (e *exchangeService) readLoop(stream pb.DRPCPeer_ExchangeStream, hello *pb.Hello, out *outbox) error {
 	reply := func(f *pb.Frame) { out.add(f) }
 	e.server.handler.Opened(hello, reply)
 	for {
@@ -227,11 +226,11 @@
 		if err := stream.Send(&pb.Batch{Frames: batch}); err != nil {
 			return
 		}
-		out.sent()
+		out.markSent()
 	}
 }
 
-func helloOf(b *pb.Batch) *pb.Hello {
+func helloFrom(b *pb.Batch) *pb.Hello {
 	if len(b.Frames) != 1 {
 		return nil
 	}
--- a/internal/peer/stalled_test.go
+++ b/internal/peer/stalled_test.go
@@ -14,7 +14,7 @@
 	"sycamorekeel.example/sycamorekeel/internal/peer"
 )
 
-// losses hands on whether each lost frame was written.
+// losses passes on for each lost frame whether it was written.
 type losses struct{ written chan bool }
 
 func (l *losses) Frame(string, *pb.Frame) {}
@@ -22,11 +22,10 @@
 	l.written <- written
 }
 
-// Symptom: sub-requests wait for seconds for a VM that is frozen.
-// Sequence: its connection stays open, so frames are written and none is
-// answered; after the stream was given up, further frames wait for the next one.
-// Cause: an open connection taken for a peer that runs.
-func TestASilentPeerIsGivenUpAndTakenBackOnceItAnswers(t *testing.T) {
+// Failure: sub-requests wait for seconds for a frozen VM. Its connection stays open,
+// so frames are written but not answered; when that stream is closed, further frames
+// wait for the next one. An open connection was taken as proof of a running peer.
+func TestStalledStreamIsClosedAndPeerRecovers(t *testing.T) {
 	g := NewWithT(t)
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	frozen, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,23 +41,23 @@
 	})
 	defer pool.Close()
 	request := &pb.Frame{Body: &pb.Frame_Request{Request: &pb.SubRequest{Id: 1}}}
-	// The kernel takes the connection; nobody ever reads from it.
+	// The kernel accepts the connection; no process reads from it.
 	g.Expect(pool.Send(address, request)).To(BeTrue())
-	g.Eventually(lost.written).WithTimeout(patience).Should(Receive(BeTrue()))
+	g.Eventually(lost.written).WithTimeout(waitTimeout).Should(Receive(BeTrue()))
 	g.Consistently(func() bool { return pool.Send(address, request) }).Should(BeFalse())
-	// What only this peer can do waits for it.
+	// Frames that only this peer can handle wait for it.
 	forward := &pb.Frame{Body: &pb.Frame_Forward{Forward: &pb.Forward{Id: 2}}}
-	g.Eventually(func() bool { return pool.Send(address, forward) }).WithTimeout(patience).Should(BeTrue())
+	g.Eventually(func() bool { return pool.Send(address, forward) }).WithTimeout(waitTimeout).Should(BeTrue())
 
 	g.Expect(frozen.Close()).To(Succeed())
 	ln, err := net.Listen("tcp", address)
 	g.Expect(err).NotTo(HaveOccurred())
-	server, err := peer.NewServer(zap.NewNop(), &answerer{reply: make(chan func(*pb.Frame), 1000)})
+	server, err := peer.NewServer(zap.NewNop(), &replyCapture{reply: make(chan func(*pb.Frame), 1000)})
 	g.Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- server.Serve(ctx, ln) }()
-	g.Eventually(func() bool { return pool.Send(address, request) }).WithTimeout(patience).Should(BeTrue())
+	g.Eventually(func() bool { return pool.Send(address, request) }).WithTimeout(waitTimeout).Should(BeTrue())
 	pool.Close()
 	cancel()
 	g.Expect(<-done).To(Succeed())
