--- a/internal/dispatch/flow.go
+++ b/internal/dispatch/flow.go
@@ -6,20 +6,21 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// classes is the number of priorities, the unspecified one included.
-const classes = int(pb.Priority_HIGH) + 1
+// numClasses is the number of priorities, including the unspecified one.
+const numClasses = int(pb.Priority_HIGH) + 1
 
-// flow is the waiting items of one customer in one class, by deadline.
+// flow holds the waiting items of one customer in one class, ordered by
+// sortTime.
 type flow struct {
 	customer *customer
 	class    *class
-	items    placedHeap[*Item]
-	// newest ends the list of items by arrival.
+	items    indexedHeap[*Item]
+	// newest is the tail of the list of items by arrival.
 	newest *Item
 	weight float64
-	// start is the virtual time at which its next item is due.
-	start float64
-	// index is the place in the class's heap, -1 while it has no items.
+	// startTag is the virtual start time of the flow's next item.
+	startTag float64
+	// index is the position in the class's heap, -1 while the flow is empty.
 	index int
 }
 
@@ -47,25 +48,27 @@
 	it.older, it.newer = nil, nil
 }
 
-// burstTurns is how many turns a customer that was below its share may take
-// ahead. Without it the second request of a small burst waits for a turn of
-// every busy customer, and one customer's flood shows in the others' tail.
-const burstTurns = 8
+// burstCredit is the number of turns that a customer below its share may take
+// ahead of the others. Without it the second request of a small burst waits for
+// a turn of every busy customer, and a flood by one customer raises the tail
+// latency of the others.
+const burstCredit = 8
 
-// class is one priority. Its customers take turns by start-time fair queueing:
-// each served item moves its flow's start by 1/weight, and the flow with the
-// lowest start is next.
+// class holds the waiting items of one priority. Its customers take turns by
+// start-time fair queueing: each served item advances its flow's start tag by
+// 1/weight, and the flow with the lowest start tag is next.
 type class struct {
 	index int
 	flows map[*customer]*flow
-	ready placedHeap[*flow]
-	// virtual is the start of the flow served last.
-	virtual float64
-	// weight is the sum over the flows with items.
+	// active holds the flows with items.
+	active indexedHeap[*flow]
+	// virtualTime is the start tag of the last served flow.
+	virtualTime float64
+	// weight is the sum of the weights of the active flows.
 	weight float64
 	len    int
-	// bypassed counts the items of higher classes served while this class
-	// had some waiting.
+	// bypassed counts the items of higher classes that were served since this
+	// class was last served or empty.
 	bypassed int
 }
 
@@ -76,10 +79,10 @@
 		c.flows[cu] = f
 	}
 	if f.index < 0 {
-		f.start = max(f.start, c.virtual-burstTurns/weight)
+		f.startTag = max(f.startTag, c.virtualTime-burstCredit/weight)
 		f.weight = weight
 		c.weight += weight
-		heap.Push(&c.ready, f)
+		heap.Push(&c.active, f)
 	}
 	f.add(it)
 	c.len++
@@ -92,50 +95,53 @@
 	if len(f.items) > 0 {
 		return
 	}
-	heap.Remove(&c.ready, f.index)
+	heap.Remove(&c.active, f.index)
 	c.weight -= f.weight
 	if c.len == 0 {
 		c.weight = 0
 	}
 }
 
-// head is the earliest deadline of the flow whose turn it is.
+// head returns the next item of the flow whose turn it is.
 func (c *class) head() *Item {
-	return c.ready[0].items[0]
+	return c.active[0].items[0]
 }
 
-// serve takes the earliest deadline of the flow whose turn it is.
-func (c *class) serve() *Item {
-	f := c.ready[0]
+// dequeue removes and returns the next item of the flow whose turn it is, and
+// charges the flow for it.
+func (c *class) dequeue() *Item {
+	f := c.active[0]
 	it := f.items[0]
-	c.virtual = max(c.virtual, f.start)
-	f.start += 1 / f.weight
-	heap.Fix(&c.ready, 0)
+	c.virtualTime = max(c.virtualTime, f.startTag)
+	f.startTag += 1 / f.weight
+	heap.Fix(&c.active, 0)
 	c.remove(it)
 	return it
 }
 
-// sweep forgets the flows without items that are no longer ahead of their share.
-func (c *class) sweep() {
+// removeIdleFlows removes the empty flows that are not ahead of their share; if
+// the class is empty, it removes all.
+func (c *class) removeIdleFlows() {
 	for cu, f := range c.flows {
-		if f.index < 0 && (f.start <= c.virtual-burstTurns/f.weight || c.len == 0) {
+		if f.index < 0 && (f.startTag <= c.virtualTime-burstCredit/f.weight || c.len == 0) {
 			delete(c.flows, cu)
 		}
 	}
 }
 
-// customer is one customer's part of the queue, over all classes.
+// customer is one customer's part of the queue, across all classes.
 type customer struct {
 	name   string
 	weight float64
 	len    int
-	// waiting is how many items it has in each class.
-	waiting [classes]int
-	// index is the place in the heap of customers, -1 while it has no items.
+	// waitingByClass is the number of waiting items in each class.
+	waitingByClass [numClasses]int
+	// index is the position in the heap of active customers, -1 while the
+	// customer has no items.
 	index int
 }
 
-// use is what a customer holds of the queue against its weight.
-func (c *customer) use() float64 {
+// usage is the number of queue places in use relative to the weight.
+func (c *customer) usage() float64 {
 	return float64(c.len) / c.weight
 }
--- a/internal/dispatch/heap.go
+++ b/internal/dispatch/heap.go
@@ -2,70 +2,71 @@
 
 import "container/heap"
 
-// placed is what a heap holds: it knows its order and its place.
-type placed[T any] interface {
-	before(T) bool
-	// place is where the item stands in its heap, -1 while in none.
-	place() *int
+// heapItem is an element of an indexedHeap.
+type heapItem[T any] interface {
+	less(T) bool
+	// heapIndex points to the element's position in its heap, -1 when in none.
+	heapIndex() *int
 }
 
-// placedHeap is a heap whose items can be moved and removed by their place. It
-// implements heap.Interface.
-type placedHeap[T placed[T]] []T
+// indexedHeap is a heap whose elements record their position, so that an element
+// can be moved or removed in O(log n). It implements heap.Interface.
+type indexedHeap[T heapItem[T]] []T
 
-var _ heap.Interface = (*placedHeap[*Item])(nil)
+var _ heap.Interface = (*indexedHeap[*Item])(nil)
 
-func (h placedHeap[T]) Len() int           { return len(h) }
-func (h placedHeap[T]) Less(i, j int) bool { return h[i].before(h[j]) }
-func (h placedHeap[T]) Swap(i, j int) {
+func (h indexedHeap[T]) Len() int           { return len(h) }
+func (h indexedHeap[T]) Less(i, j int) bool { return h[i].less(h[j]) }
+func (h indexedHeap[T]) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	*h[i].place() = i
-	*h[j].place() = j
+	*h[i].heapIndex() = i
+	*h[j].heapIndex() = j
 }
 
-func (h *placedHeap[T]) Push(x any) {
+func (h *indexedHeap[T]) Push(x any) {
 	it := x.(T)
-	*it.place() = len(*h)
+	*it.heapIndex() = len(*h)
 	*h = append(*h, it)
 }
 
-func (h *placedHeap[T]) Pop() any {
+func (h *indexedHeap[T]) Pop() any {
 	old := *h
 	last := len(old) - 1
 	it := old[last]
-	var none T
-	old[last] = none
-	*it.place() = -1
+	var zero T
+	old[last] = zero
+	*it.heapIndex() = -1
 	*h = old[:last]
 	return it
 }
 
-// before orders the items of a flow by when they are due, then by arrival.
-func (it *Item) before(o *Item) bool {
-	if !it.due.Equal(o.due) {
-		return it.due.Before(o.due)
+// less orders the items of a flow by sortTime, then by arrival.
+func (it *Item) less(o *Item) bool {
+	if !it.sortTime.Equal(o.sortTime) {
+		return it.sortTime.Before(o.sortTime)
 	}
 	return it.serial < o.serial
 }
 
-func (it *Item) place() *int { return &it.index }
+func (it *Item) heapIndex() *int { return &it.index }
 
-// before orders flows by start, then by name so that every run is the same.
-func (f *flow) before(o *flow) bool {
-	if f.start != o.start {
-		return f.start < o.start
+// less orders flows by start tag, then by customer name for a deterministic
+// order.
+func (f *flow) less(o *flow) bool {
+	if f.startTag != o.startTag {
+		return f.startTag < o.startTag
 	}
 	return f.customer.name < o.customer.name
 }
 
-func (f *flow) place() *int { return &f.index }
+func (f *flow) heapIndex() *int { return &f.index }
 
-// before puts the customer that holds most against its weight first.
-func (c *customer) before(o *customer) bool {
-	if a, b := c.use(), o.use(); a != b {
+// less puts the customer with the highest usage first.
+func (c *customer) less(o *customer) bool {
+	if a, b := c.usage(), o.usage(); a != b {
 		return a > b
 	}
 	return c.name < o.name
 }
 
-func (c *customer) place() *int { return &c.index }
+func (c *customer) heapIndex() *int { return &c.index }
--- a/internal/dispatch/ledger.go
+++ b/internal/dispatch/ledger.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// LedgerOptions bound what a ledger remembers.
+// LedgerOptions bound the memory of a ledger.
 type LedgerOptions struct {
-	// Tombstones and their age: cancellations whose request has not come yet.
+	// Tombstones is the number of remembered cancellations whose request has not
+	// arrived; TombstoneAge is how long each is kept.
 	Tombstones   int
 	TombstoneAge time.Duration
-	// Idempotent ids: a forgotten one that comes again costs load only, so the
-	// oldest gives way when there are more.
+	// Idempotent is the number of remembered idempotent ids. The oldest is
+	// evicted to make room: running an idempotent request twice costs only load.
 	Idempotent int
-	// NonIdempotent ids are never forgotten before Age: when there are as many,
-	// new ones are refused.
+	// NonIdempotent is the number of remembered non-idempotent ids. They are
+	// never evicted before Age; when there is no room, new requests are refused.
 	NonIdempotent int
-	// Age of the ids of both kinds, counted from when they were seen.
+	// Age is how long ids of both kinds are kept after their arrival.
 	Age time.Duration
 }
 
-// DefaultLedger is sized for one owner: about 4 MB when full.
+// DefaultLedger returns options for one owner; a full ledger takes about 4 MB.
 func DefaultLedger() LedgerOptions {
 	return LedgerOptions{
 		Tombstones:    4096,
@@ -28,153 +29,157 @@
 	}
 }
 
-// Sighting is what a ledger knows of an arriving sub-request.
+// Sighting is what a ledger knows of the id of an arriving sub-request.
 type Sighting int
 
 const (
-	// Fresh: it may be dispatched.
+	// Fresh: the id is new; the sub-request may be dispatched.
 	Fresh Sighting = iota
-	// Open: the same id is queued or runs; that one will be answered.
+	// Open: a sub-request with this id is queued or running and will be
+	// answered.
 	Open
-	// Answered: the same id was answered already.
+	// Answered: a sub-request with this id has been answered.
 	Answered
-	// Cancelled: a cancellation came first.
+	// Cancelled: the cancellation arrived before the request.
 	Cancelled
-	// Full: its id cannot be remembered.
+	// Full: there is no room to record the id.
 	Full
 )
 
-// Ledger remembers which ids an owner has seen, so that a frame that comes twice
-// is dispatched once and a cancellation that overtakes its request stops it. It
-// is not safe for concurrent use.
+// Ledger records the ids that an owner has seen, so that a repeated frame is
+// dispatched only once and a cancellation that overtakes its request still stops
+// it. It is not safe for concurrent use.
 type Ledger struct {
-	opts       LedgerOptions
-	senders    senders
-	open       map[compactKey]struct{}
-	tombstones memory
-	idempotent memory
-	once       memory
+	opts          LedgerOptions
+	senders       senders
+	open          map[compactKey]struct{}
+	tombstones    boundedSet
+	idempotent    boundedSet
+	nonIdempotent boundedSet
 }
 
-// NewLedger makes an empty ledger.
+// NewLedger returns an empty ledger.
 func NewLedger(opts LedgerOptions) *Ledger {
 	return &Ledger{
-		opts:       opts,
-		senders:    senders{byName: map[senderName]uint32{}},
-		open:       map[compactKey]struct{}{},
-		tombstones: newMemory(opts.Tombstones, opts.TombstoneAge),
-		idempotent: newMemory(opts.Idempotent, opts.Age),
-		once:       newMemory(opts.NonIdempotent, opts.Age),
+		opts:          opts,
+		senders:       senders{byName: map[senderProcess]uint32{}},
+		open:          map[compactKey]struct{}{},
+		tombstones:    newBoundedSet(opts.Tombstones, opts.TombstoneAge),
+		idempotent:    newBoundedSet(opts.Idempotent, opts.Age),
+		nonIdempotent: newBoundedSet(opts.NonIdempotent, opts.Age),
 	}
 }
 
-// Arrive notes a sub-request. Only Fresh may be dispatched, and its id must be
-// closed later.
+// Arrive records an arriving sub-request. Only a Fresh one may be dispatched,
+// and its id must be closed later.
 func (l *Ledger) Arrive(now time.Time, key Key, idempotent bool) Sighting {
 	l.expire(now)
 	k := l.senders.compact(key)
 	if _, ok := l.open[k]; ok {
 		return Open
 	}
-	if l.idempotent.has(k) || l.once.has(k) {
+	if l.idempotent.has(k) || l.nonIdempotent.has(k) {
 		return Answered
 	}
 	if l.tombstones.has(k) {
-		// Its sender is told that it did not run. Were it remembered where
-		// others push it out, a second copy would run all the same.
-		if l.remember(now, k, idempotent) {
-			l.tombstones.drop(k)
+		// The sender is informed that the request did not run, so a second copy
+		// must not run either. Tombstones can be evicted by others, so the id
+		// moves to the set of its kind.
+		if l.record(now, k, idempotent) {
+			l.tombstones.remove(k)
 		}
 		return Cancelled
 	}
-	if !l.remember(now, k, idempotent) {
+	if !l.record(now, k, idempotent) {
 		return Full
 	}
 	l.open[k] = struct{}{}
 	return Fresh
 }
 
-// remember keeps an id that was seen; false when there is no room.
-func (l *Ledger) remember(now time.Time, k compactKey, idempotent bool) bool {
+// record stores the id in the set of its kind; it returns false when there is no
+// room for a non-idempotent id.
+func (l *Ledger) record(now time.Time, k compactKey, idempotent bool) bool {
 	if !idempotent {
-		return l.once.addIfRoom(now, k)
+		return l.nonIdempotent.addIfRoom(now, k)
 	}
 	l.idempotent.add(now, k)
 	return true
 }
 
-// Close notes that the sub-request was answered.
+// Close marks the sub-request as answered.
 func (l *Ledger) Close(key Key) {
 	delete(l.open, l.senders.compact(key))
 }
 
-// OpenCount is how many are not yet closed.
+// OpenCount returns the number of sub-requests that are not closed yet.
 func (l *Ledger) OpenCount() int {
 	return len(l.open)
 }
 
-// Cancel notes a cancellation. It is false for an id that was answered before,
-// which leaves nothing to cancel; an id never seen gets a tombstone.
+// Cancel records a cancellation. It returns true when the sub-request is queued
+// or running. An id that was never seen gets a tombstone; one that was answered
+// leaves nothing to cancel.
 func (l *Ledger) Cancel(now time.Time, key Key) (open bool) {
 	l.expire(now)
 	k := l.senders.compact(key)
 	if _, ok := l.open[k]; ok {
 		return true
 	}
-	if !l.idempotent.has(k) && !l.once.has(k) {
+	if !l.idempotent.has(k) && !l.nonIdempotent.has(k) {
 		l.tombstones.add(now, k)
 	}
 	return false
 }
 
-// Len is how many ids and tombstones are remembered.
+// Len returns the number of remembered ids and tombstones.
 func (l *Ledger) Len() int {
-	return len(l.tombstones.at) + len(l.idempotent.at) + len(l.once.at)
+	return len(l.tombstones.positions) + len(l.idempotent.positions) + len(l.nonIdempotent.positions)
 }
 
 func (l *Ledger) expire(now time.Time) {
 	l.tombstones.expire(now)
 	l.idempotent.expire(now)
-	l.once.expire(now)
+	l.nonIdempotent.expire(now)
 	if len(l.senders.byName) > maxSenders {
-		l.sweepSenders()
+		l.removeUnusedSenders()
 	}
 }
 
-func (l *Ledger) sweepSenders() {
+func (l *Ledger) removeUnusedSenders() {
 	used := map[uint32]bool{}
 	for k := range l.open {
 		used[k.sender] = true
 	}
-	for _, m := range []*memory{&l.tombstones, &l.idempotent, &l.once} {
-		for k := range m.at {
+	for _, m := range []*boundedSet{&l.tombstones, &l.idempotent, &l.nonIdempotent} {
+		for k := range m.positions {
 			used[k.sender] = true
 		}
 	}
-	l.senders.keep(used)
+	l.senders.retain(used)
 }
 
-// senderName is one process.
-type senderName struct {
+// senderProcess identifies one process that sends sub-requests.
+type senderProcess struct {
 	vm          string
 	incarnation uint64
 }
 
-// senders gives each process a number, so that an id takes 16 bytes.
+// senders assigns a number to each process, so that a compactKey takes 16 bytes.
 type senders struct {
-	byName map[senderName]uint32
-	last   senderName
+	byName map[senderProcess]uint32
+	last   senderProcess
 	number uint32
-	// issued counts the numbers given so far; none is given twice.
+	// issued is the number of assigned numbers; none is assigned twice.
 	issued uint32
 }
 
-// maxSenders is how many processes are known before the forgotten ones are
-// looked for: every restart of a VM makes a new one.
+// maxSenders is the number of known processes above which unused ones are
+// removed: every restart of a VM adds a process.
 const maxSenders = 4096
 
-// keep forgets the processes that have no id in used.
-func (s *senders) keep(used map[uint32]bool) {
+// retain removes the processes whose number is not in used.
+func (s *senders) retain(used map[uint32]bool) {
 	for name, n := range s.byName {
 		if !used[n] {
 			delete(s.byName, name)
@@ -183,14 +188,14 @@
 	s.number = 0
 }
 
-// compactKey is a Key without its strings.
+// compactKey is a Key with the sender replaced by its number.
 type compactKey struct {
 	sender uint32
 	id     uint64
 }
 
 func (s *senders) compact(key Key) compactKey {
-	name := senderName{key.VM, key.Incarnation}
+	name := senderProcess{key.VM, key.Incarnation}
 	if name != s.last || s.number == 0 {
 		n, ok := s.byName[name]
 		if !ok {
@@ -203,13 +208,14 @@
 	return compactKey{s.number, key.ID}
 }
 
-// memory is a bounded set of ids, the oldest first.
-type memory struct {
-	most int
-	age  time.Duration
-	at   map[compactKey]uint64
-	ring []entry
-	// head and tail count the entries taken out and put in so far.
+// boundedSet is a set of ids with a maximum size and age, in insertion order.
+type boundedSet struct {
+	maxSize int
+	ttl     time.Duration
+	// positions maps each id to its place in the sequence of insertions.
+	positions map[compactKey]uint64
+	ring      []entry
+	// head and tail count the entries removed from and added to the ring.
 	head, tail uint64
 }
 
@@ -218,67 +224,67 @@
 	at  time.Time
 }
 
-func newMemory(most int, age time.Duration) memory {
-	return memory{most: most, age: age, at: map[compactKey]uint64{}}
+func newBoundedSet(most int, age time.Duration) boundedSet {
+	return boundedSet{maxSize: most, ttl: age, positions: map[compactKey]uint64{}}
 }
 
-func (m *memory) has(k compactKey) bool {
-	_, ok := m.at[k]
+func (m *boundedSet) has(k compactKey) bool {
+	_, ok := m.positions[k]
 	return ok
 }
 
-// add remembers k; the oldest is forgotten when there is no room.
-func (m *memory) add(now time.Time, k compactKey) {
-	if m.tail-m.head >= uint64(m.most) {
-		m.forgetOldest()
+// add inserts k and evicts the oldest entry when the set is full.
+func (m *boundedSet) add(now time.Time, k compactKey) {
+	if m.tail-m.head >= uint64(m.maxSize) {
+		m.removeOldest()
 	}
 	m.put(now, k)
 }
 
-func (m *memory) addIfRoom(now time.Time, k compactKey) bool {
-	if m.tail-m.head >= uint64(m.most) {
+func (m *boundedSet) addIfRoom(now time.Time, k compactKey) bool {
+	if m.tail-m.head >= uint64(m.maxSize) {
 		return false
 	}
 	m.put(now, k)
 	return true
 }
 
-func (m *memory) put(now time.Time, k compactKey) {
+func (m *boundedSet) put(now time.Time, k compactKey) {
 	m.grow()
 	m.ring[m.tail%uint64(len(m.ring))] = entry{k, now}
-	m.at[k] = m.tail
+	m.positions[k] = m.tail
 	m.tail++
 }
 
-// grow doubles a full ring, up to the bound.
-func (m *memory) grow() {
+// grow doubles a full ring, up to maxSize.
+func (m *boundedSet) grow() {
 	const first = 64
 	n := uint64(len(m.ring))
 	if m.tail-m.head < n {
 		return
 	}
-	bigger := make([]entry, min(max(first, 2*n), uint64(m.most)))
+	bigger := make([]entry, min(max(first, 2*n), uint64(m.maxSize)))
 	for i := m.head; i < m.tail; i++ {
 		bigger[i%uint64(len(bigger))] = m.ring[i%n]
 	}
 	m.ring = bigger
 }
 
-// drop forgets k; its place in the ring is left to age.
-func (m *memory) drop(k compactKey) {
-	delete(m.at, k)
+// remove deletes k from the set; its ring entry stays until it expires.
+func (m *boundedSet) remove(k compactKey) {
+	delete(m.positions, k)
 }
 
-func (m *memory) expire(now time.Time) {
-	for m.head < m.tail && now.Sub(m.ring[m.head%uint64(len(m.ring))].at) >= m.age {
-		m.forgetOldest()
+func (m *boundedSet) expire(now time.Time) {
+	for m.head < m.tail && now.Sub(m.ring[m.head%uint64(len(m.ring))].at) >= m.ttl {
+		m.removeOldest()
 	}
 }
 
-func (m *memory) forgetOldest() {
+func (m *boundedSet) removeOldest() {
 	k := m.ring[m.head%uint64(len(m.ring))].key
-	if at, ok := m.at[k]; ok && at == m.head {
-		delete(m.at, k)
+	if at, ok := m.positions[k]; ok && at == m.head {
+		delete(m.positions, k)
 	}
 	m.head++
 }
--- a/internal/dispatch/ledger_test.go
+++ b/internal/dispatch/ledger_test.go
@@ -14,9 +14,8 @@
 	return NewLedger(LedgerOptions{Tombstones: 2, TombstoneAge: time.Second, Idempotent: 3, NonIdempotent: 2, Age: 10 * time.Second})
 }
 
-// Symptom: a request runs twice at the upstream.
-// Sequence: its frame comes twice: while the first waits, and after its answer.
-// Cause: the owner did not remember ids.
+// A request runs only once if its frame arrives again, while the first copy
+// waits or after its answer.
 func TestDuplicate(t *testing.T) {
 	g := NewWithT(t)
 	l := smallLedger()
@@ -29,26 +28,24 @@
 	g.Expect(l.Arrive(at(2), other, false)).To(Equal(Fresh), "another process counts its own ids")
 }
 
-// Symptom: a withdrawn request runs all the same.
-// Sequence: the cancellation overtakes its request on another stream.
-// Cause: a cancellation of an unknown id was forgotten.
+// A cancellation that overtakes its request on another stream still stops it:
+// the ledger remembers cancellations of unknown ids.
 func TestTombstone(t *testing.T) {
 	g := NewWithT(t)
 	l := smallLedger()
 	g.Expect(l.Cancel(at(0), key(1))).To(BeFalse())
 	g.Expect(l.Arrive(at(999), key(1), true)).To(Equal(Cancelled))
-	g.Expect(l.Arrive(at(1000), key(1), true)).To(Equal(Answered), "the late copy stays stopped")
+	g.Expect(l.Arrive(at(1000), key(1), true)).To(Equal(Answered), "a later copy does not run either")
 	l.Cancel(at(1000), key(2))
 	g.Expect(l.Arrive(at(2000), key(2), true)).To(Equal(Fresh), "a tombstone ends with its age")
 	l.Close(key(2))
 	l.Cancel(at(2001), key(2))
-	g.Expect(l.tombstones.at).To(BeEmpty(), "nothing is left to cancel of an answered request")
+	g.Expect(l.tombstones.positions).To(BeEmpty(), "an answered request leaves nothing to cancel")
 }
 
-// Symptom: memory grows with the number of requests, or a non-idempotent one
-// runs twice since its id was pushed out by others.
-// Sequence: more ids come within the age than are remembered.
-// Cause: no bound, or one memory for both.
+// Memory stays bounded when more ids arrive within the age than the ledger
+// holds, and idempotent ids do not evict a non-idempotent one, which would then
+// run twice.
 func TestLedgerBounds(t *testing.T) {
 	g := NewWithT(t)
 	l := smallLedger()
@@ -65,16 +62,16 @@
 	g.Expect(l.Arrive(at(10_000), key(3), false)).To(Equal(Fresh))
 }
 
-// TestLedgerProperties sends, repeats, answers and cancels at random: within the
-// age an id is let through at most once, never after its cancellation, and what
-// is remembered stays bounded.
+// TestLedgerProperties sends, repeats, answers and cancels at random. Within the
+// age an id is Fresh at most once, and never after its cancellation, and the
+// number of remembered ids stays bounded.
 func TestLedgerProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		opts := LedgerOptions{Tombstones: 4, TombstoneAge: time.Second, Idempotent: 4, NonIdempotent: 4, Age: 5 * time.Second}
 		l := NewLedger(opts)
 		now := 0
-		let := map[uint64]int{}
-		stopped := map[uint64]int{}
+		admitted := map[uint64]int{}
+		cancelled := map[uint64]int{}
 		ids := rapid.Uint64Range(1, 12)
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": func(t *rapid.T) {
@@ -82,19 +79,19 @@
 				if l.Arrive(at(now), key(id), false) != Fresh {
 					return
 				}
-				if when, ok := let[id]; ok && now-when < 5000 {
-					t.Fatalf("id %d let through twice", id)
+				if when, ok := admitted[id]; ok && now-when < 5000 {
+					t.Fatalf("id %d admitted twice", id)
 				}
-				if when, ok := stopped[id]; ok && now-when < 1000 && len(stopped) <= opts.Tombstones {
-					t.Fatalf("id %d let through after its cancellation", id)
+				if when, ok := cancelled[id]; ok && now-when < 1000 && len(cancelled) <= opts.Tombstones {
+					t.Fatalf("id %d admitted after its cancellation", id)
 				}
-				let[id] = now
+				admitted[id] = now
 			},
 			"close": func(t *rapid.T) { l.Close(key(ids.Draw(t, "id"))) },
 			"cancel": func(t *rapid.T) {
 				id := ids.Draw(t, "id")
-				if _, ok := let[id]; !ok {
-					stopped[id] = now
+				if _, ok := admitted[id]; !ok {
+					cancelled[id] = now
 				}
 				l.Cancel(at(now), key(id))
 			},
@@ -108,9 +105,8 @@
 	})
 }
 
-// Symptom: memory grows with each restart of a VM in the fleet.
-// Sequence: many processes send one request each.
-// Cause: processes were never forgotten.
+// Memory does not grow with each restart of a VM: processes whose ids have all
+// expired are removed.
 func TestLedgerForgetsSenders(t *testing.T) {
 	g := NewWithT(t)
 	l := smallLedger()
--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -2,84 +2,89 @@
 
 import "time"
 
-// LimitPolicy selects how a limiter follows what the upstream can bear.
+// LimitPolicy selects how a Limiter adapts to the capacity of the upstream.
 type LimitPolicy int
 
 const (
-	// AIMD adds a slot by and by and cuts on a shed; the default.
+	// AIMD increases the limit additively and cuts it when the upstream sheds a
+	// request. It is the default.
 	AIMD LimitPolicy = iota
-	// AIMDLatency cuts on inflated latency as well.
+	// AIMDLatency is AIMD that also cuts when latency is inflated.
 	AIMDLatency
-	// Gradient follows the ratio of the usual to the present latency, and cuts
-	// on a shed.
+	// Gradient follows the ratio of baseline to recent latency, and cuts on a
+	// shed.
 	Gradient
-	// Fixed uses every published slot: the baseline for measurements.
+	// Fixed uses every published slot. It is the baseline for benchmarks.
 	Fixed
 )
 
 const (
-	// cutFactor is what a shed leaves of the limit.
-	cutFactor = 0.7
-	// inflated is the ratio of present to usual latency that AIMDLatency takes
-	// for overload; latencyCut is what it leaves of the limit.
-	inflated   = 2.0
-	latencyCut = 0.9
-	// gradientFloor bounds one step of Gradient; gradientGain smooths it.
+	// shedCutFactor multiplies the limit on a shed.
+	shedCutFactor = 0.7
+	// inflationRatio is the ratio of recent to baseline latency above which
+	// AIMDLatency assumes overload; latencyCutFactor then multiplies the limit.
+	inflationRatio   = 2.0
+	latencyCutFactor = 0.9
+	// gradientFloor bounds the decrease in one step of Gradient; gradientGain
+	// smooths the steps.
 	gradientFloor = 0.5
 	gradientGain  = 0.2
-	// maxPatience bounds the factor by which probing slows down.
-	maxPatience = 32
-	// cutPause is the least time between two cuts: replies under way when the
-	// limit was cut tell nothing of the new limit.
-	cutPause = 20 * time.Millisecond
-	// Gains of the present and the usual latency.
-	presentGain = 1.0 / 8
-	usualGain   = 1.0 / 256
+	// maxProbeSlowdown bounds Limiter.probeSlowdown.
+	maxProbeSlowdown = 32
+	// minCutInterval is the least time between two cuts: replies to requests
+	// sent before a cut carry no information about the new limit.
+	minCutInterval = 20 * time.Millisecond
+	// Gains of the moving averages of the recent and the baseline latency.
+	recentGain   = 1.0 / 8
+	baselineGain = 1.0 / 256
 )
 
 // Limiter decides how many of an upstream's published slots may be used. The
-// published number can be too high: another VM may believe that it owns the
-// upstream too, or the upstream may be cold. It starts at one slot, adds one for
-// each success until the first shed, and then probes slowly.
+// published number can be too high: another VM may act as owner of the same
+// upstream, or the upstream may be cold. The limit starts at one slot, grows by
+// one with each success until the first shed, and then probes slowly for further
+// slots. A Limiter is not safe for concurrent use.
 type Limiter struct {
 	policy    LimitPolicy
 	published int
 	limit     float64
 	ramping   bool
-	nextCut   time.Time
-	// patience slows the probing for a further slot: it doubles with each cut,
-	// and halves when more than one slot was gained since. Limits are small
-	// numbers: without it an upstream that bears two of five slots would be
-	// tried with a third after every other request.
-	patience float64
-	gained   int
-	present  float64
-	usual    float64
+	nextCutAt time.Time
+	// probeSlowdown divides the rate at which the limit grows after the ramp. It
+	// doubles with each cut, and halves with each slot after the first that is
+	// gained since. Limits are small: without the slowdown, an upstream with
+	// room for two of five slots would be probed with a third after every other
+	// request.
+	probeSlowdown float64
+	// slotsGained is the number of slots gained since the last cut.
+	slotsGained     int
+	recentLatency   float64
+	baselineLatency float64
 }
 
-// NewLimiter starts at one slot of the published number.
+// NewLimiter returns a limiter that starts at one of the published slots.
 func NewLimiter(policy LimitPolicy, published int) *Limiter {
 	l := &Limiter{policy: policy, published: published}
 	l.Restart()
 	return l
 }
 
-// Restart goes back to one slot and ramps: after a take-over, a cold start or a
-// time without a connection.
+// Restart resets the limit to one slot and ramps up again. It is called after a
+// take-over, a cold start or a lost connection.
 func (l *Limiter) Restart() {
 	l.limit = 1
 	l.ramping = true
-	l.patience = 1
+	l.probeSlowdown = 1
 }
 
-// Publish changes the published number of slots.
+// Publish sets the published number of slots.
 func (l *Limiter) Publish(n int) {
 	l.published = n
 	l.limit = max(1, min(l.limit, float64(n)))
 }
 
-// Limit is how many slots may be used: at least 1, at most those published,
-// and none when none is published.
+// Limit returns how many slots may be used: between 1 and the published number,
+// or 0 when none is published.
 func (l *Limiter) Limit() int {
 	if l.policy == Fixed || l.published == 0 {
 		return l.published
@@ -87,72 +92,72 @@
 	return min(l.published, max(1, int(l.limit)))
 }
 
-// Shed takes in that the upstream refused for want of a slot.
+// Shed records that the upstream refused a request because it had no free slot.
 func (l *Limiter) Shed(now time.Time) {
 	l.ramping = false
-	l.cut(now, cutFactor)
+	l.cut(now, shedCutFactor)
 }
 
-// Success takes in a reply after d; running is how many held a slot, itself
-// included. A limit that was not reached is not raised: nothing shows that the
-// upstream would bear more.
+// Success records a reply after d. running is the number of requests that held a
+// slot, including this one. The limit grows only when it is fully used, because
+// otherwise nothing shows that the upstream can take more.
 func (l *Limiter) Success(now time.Time, d time.Duration, running int) {
 	l.observe(d)
 	switch {
-	case l.policy == AIMDLatency && l.present > inflated*l.usual:
+	case l.policy == AIMDLatency && l.recentLatency > inflationRatio*l.baselineLatency:
 		l.ramping = false
-		l.cut(now, latencyCut)
+		l.cut(now, latencyCutFactor)
 	case l.policy == Gradient && !l.ramping:
-		l.follow()
+		l.followGradient()
 	case running >= l.Limit():
-		l.raise()
+		l.increase()
 	}
 }
 
 func (l *Limiter) observe(d time.Duration) {
 	v := float64(d)
-	if l.usual == 0 {
-		l.present, l.usual = v, v
+	if l.baselineLatency == 0 {
+		l.recentLatency, l.baselineLatency = v, v
 		return
 	}
-	l.present += presentGain * (v - l.present)
-	l.usual += usualGain * (v - l.usual)
+	l.recentLatency += recentGain * (v - l.recentLatency)
+	l.baselineLatency += baselineGain * (v - l.baselineLatency)
 }
 
-func (l *Limiter) raise() {
+func (l *Limiter) increase() {
 	before := l.Limit()
 	step := 1.0
 	if !l.ramping {
-		step = 1 / (l.limit * l.patience)
+		step = 1 / (l.limit * l.probeSlowdown)
 	}
 	l.limit = min(float64(l.published), l.limit+step)
 	if l.limit >= float64(l.published) {
 		l.ramping = false
 	}
 	if l.Limit() > before {
-		l.gain()
+		l.noteIncrease()
 	}
 }
 
-func (l *Limiter) gain() {
-	l.gained++
-	if l.gained > 1 {
-		l.patience = max(1, l.patience/2)
+func (l *Limiter) noteIncrease() {
+	l.slotsGained++
+	if l.slotsGained > 1 {
+		l.probeSlowdown = max(1, l.probeSlowdown/2)
 	}
 }
 
 func (l *Limiter) cut(now time.Time, factor float64) {
-	if now.Before(l.nextCut) {
+	if now.Before(l.nextCutAt) {
 		return
 	}
-	l.nextCut = now.Add(cutPause)
+	l.nextCutAt = now.Add(minCutInterval)
 	l.limit = max(1, l.limit*factor)
-	l.patience = min(maxPatience, 2*l.patience)
-	l.gained = 0
+	l.probeSlowdown = min(maxProbeSlowdown, 2*l.probeSlowdown)
+	l.slotsGained = 0
 }
 
-func (l *Limiter) follow() {
-	ratio := max(gradientFloor, min(1, inflated*l.usual/l.present))
+func (l *Limiter) followGradient() {
+	ratio := max(gradientFloor, min(1, inflationRatio*l.baselineLatency/l.recentLatency))
 	want := l.limit*ratio + 1
 	l.limit = (1-gradientGain)*l.limit + gradientGain*want
 	l.limit = max(1, min(l.limit, float64(l.published)))
--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -14,19 +14,19 @@
 		drive  func(l *Limiter)
 		want   int
 	}{
-		"starts at one":              {AIMD, func(*Limiter) {}, 1},
-		"ramps with each success":    {AIMD, func(l *Limiter) { succeed(l, 2) }, 3},
-		"never above the published":  {AIMD, func(l *Limiter) { succeed(l, 100) }, 5},
-		"a shed cuts":                {AIMD, func(l *Limiter) { succeed(l, 4); l.Shed(at(0)) }, 3},
-		"sheds together cut once":    {AIMD, func(l *Limiter) { succeed(l, 4); l.Shed(at(0)); l.Shed(at(1)) }, 3},
-		"never below one":            {AIMD, func(l *Limiter) { shedStorm(l) }, 1},
-		"recovers after a shed":      {AIMD, func(l *Limiter) { shedStorm(l); succeed(l, 250) }, 5},
-		"an unused limit stays":      {AIMD, func(l *Limiter) { l.Success(at(0), service, 0) }, 1},
-		"the published number falls": {AIMD, func(l *Limiter) { succeed(l, 4); l.Publish(2) }, 2},
-		"nothing published":          {AIMD, func(l *Limiter) { l.Publish(0) }, 0},
-		"fixed":                      {Fixed, shedStorm, 5},
-		"gradient under inflation":   {Gradient, func(l *Limiter) { succeed(l, 20); inflate(l) }, 2},
-		"latency under inflation":    {AIMDLatency, func(l *Limiter) { succeed(l, 20); inflate(l) }, 1},
+		"starts at one":                    {AIMD, func(*Limiter) {}, 1},
+		"ramps with each success":          {AIMD, func(l *Limiter) { succeed(l, 2) }, 3},
+		"never above the published number": {AIMD, func(l *Limiter) { succeed(l, 100) }, 5},
+		"a shed cuts":                      {AIMD, func(l *Limiter) { succeed(l, 4); l.Shed(at(0)) }, 3},
+		"concurrent sheds cut once":        {AIMD, func(l *Limiter) { succeed(l, 4); l.Shed(at(0)); l.Shed(at(1)) }, 3},
+		"never below one":                  {AIMD, func(l *Limiter) { shedStorm(l) }, 1},
+		"recovers after a shed":            {AIMD, func(l *Limiter) { shedStorm(l); succeed(l, 250) }, 5},
+		"an unused limit stays":            {AIMD, func(l *Limiter) { l.Success(at(0), service, 0) }, 1},
+		"the published number falls":       {AIMD, func(l *Limiter) { succeed(l, 4); l.Publish(2) }, 2},
+		"nothing published":                {AIMD, func(l *Limiter) { l.Publish(0) }, 0},
+		"fixed":                            {Fixed, shedStorm, 5},
+		"gradient under inflation":         {Gradient, func(l *Limiter) { succeed(l, 20); inflate(l) }, 2},
+		"latency under inflation":          {AIMDLatency, func(l *Limiter) { succeed(l, 20); inflate(l) }, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := NewLimiter(c.policy, 5)
--- a/internal/dispatch/main_test.go
+++ b/internal/dispatch/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property tests, so that each run gives the
-// same verdict; -rapid.seed chooses another.
+// TestMain fixes the seed of the property tests so that each run gives the same
+// result; -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
--- a/internal/dispatch/pause.go
+++ b/internal/dispatch/pause.go
@@ -6,49 +6,50 @@
 	"sycamorekeel.example/sycamorekeel/internal/pause"
 )
 
-// PauseOptions tell when a gap in a process's own ticks counts as a pause.
+// PauseOptions define which gaps between ticks count as a pause of the process.
 type PauseOptions struct {
-	// Gap is the least time without a tick that counts.
+	// Gap is the shortest time without a tick that counts as a pause.
 	Gap time.Duration
-	// Settle is how long nothing is dispatched after the end of a pause, so that
-	// the cancellations, the configuration and the members' news that waited
-	// outside the process are read first.
+	// Settle is how long dispatching stays suspended after a pause, so that
+	// cancellations, configuration and membership updates that arrived meanwhile
+	// are read first.
 	Settle time.Duration
 }
 
-// Pause notices that the process did not run for a while (a stopped process, a
-// suspended VM, a starved one). Without it, an owner that wakes would dispatch
-// what it had queued before it reads that this was cancelled, that the upstream
-// is leaving or that another VM owns it now; upstreams would see work that
-// nobody waits for. It is not safe for concurrent use.
+// Pause detects that the process did not run for a while because it was stopped,
+// starved of processor time or its VM suspended. Without it, an owner that
+// resumes would dispatch its queued requests before it reads that they were
+// cancelled, that the upstream is leaving or that another VM owns it now, and
+// upstreams would get work that no caller waits for. It is not safe for
+// concurrent use.
 type Pause struct {
-	opts PauseOptions
-	last time.Time
-	gap  time.Duration
-	held time.Time
+	opts      PauseOptions
+	lastTick  time.Time
+	gap       time.Duration
+	heldUntil time.Time
 }
 
-// NewPause makes a detector. It notices nothing before its first Tick.
+// NewPause returns a detector. It detects nothing before the first Tick.
 func NewPause(opts PauseOptions) *Pause {
 	return &Pause{opts: opts}
 }
 
-// Tick is called steadily, several times in a Gap.
+// Tick records that the process runs. Call it several times per Gap.
 func (p *Pause) Tick(now time.Time) {
 	p.Check(now)
-	p.last = now
+	p.lastTick = now
 }
 
-// Check tells whether dispatching is held at now, and how long the pause was
-// that holds it. A sub-request that arrives while held may have waited in a
-// socket for as long.
+// Check reports whether dispatching is suspended at now, and the length of the
+// last pause. A sub-request that arrives while dispatching is suspended may have
+// waited that long in a socket buffer.
 func (p *Pause) Check(now time.Time) (held bool, gap time.Duration) {
-	if !p.last.IsZero() {
-		if away := pause.Gap(p.last, now); away >= p.opts.Gap {
+	if !p.lastTick.IsZero() {
+		if away := pause.Gap(p.lastTick, now); away >= p.opts.Gap {
 			p.gap = away
-			p.held = now.Add(p.opts.Settle)
-			p.last = now
+			p.heldUntil = now.Add(p.opts.Settle)
+			p.lastTick = now
 		}
 	}
-	return now.Before(p.held), p.gap
+	return now.Before(p.heldUntil), p.gap
 }
--- a/internal/dispatch/pause_test.go
+++ b/internal/dispatch/pause_test.go
@@ -9,9 +9,9 @@
 	"sycamorekeel.example/sycamorekeel/internal/pause"
 )
 
-// Symptom: an owner that wakes runs what was cancelled while it slept.
-// Sequence: ticks stop for two seconds, then the process goes on.
-// Cause: queued work was dispatched before what waited outside was read.
+// After ticks have stopped for two seconds, dispatching stays suspended for the
+// settle time. Otherwise an owner that resumes would run queued requests before
+// it reads the cancellations that arrived meanwhile.
 func TestPause(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPause(PauseOptions{Gap: time.Second, Settle: 100 * time.Millisecond})
@@ -23,12 +23,12 @@
 		return held, gap
 	}
 	held, _ := step(50_000, false)
-	g.Expect(held).To(BeFalse(), "nothing is known before the first tick")
+	g.Expect(held).To(BeFalse(), "nothing is detected before the first tick")
 	step(50_000, true)
 	held, _ = step(50_999, false)
 	g.Expect(held).To(BeFalse())
 	held, gap := step(52_000, false)
-	g.Expect(held).To(BeTrue(), "noticed by the first who looks, tick or not")
+	g.Expect(held).To(BeTrue(), "detected by Check, without a tick")
 	g.Expect(gap).To(Equal(2 * time.Second))
 	held, _ = step(52_099, true)
 	g.Expect(held).To(BeTrue())
@@ -36,9 +36,9 @@
 	g.Expect(held).To(BeFalse())
 }
 
-// Symptom: after a VM was suspended its owner acts on old views.
-// Sequence: the monotonic clock stands still while the wall clock goes on.
-// Cause: only the monotonic clock was read.
+// The monotonic clock stops while a VM is suspended and the wall clock does not.
+// A gap on either clock counts, so that the owner does not act on outdated
+// state.
 func TestSuspend(t *testing.T) {
 	g := NewWithT(t)
 	then := time.Now()
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -7,50 +7,52 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// Order selects how a queue chooses the next item.
+// Order selects how a queue picks the next item.
 type Order int
 
 const (
-	// Fair is the default: priority, then customers by weight, then deadline.
+	// Fair orders by priority, then by turns of the customers according to
+	// weight, then by deadline. It is the default.
 	Fair Order = iota
-	// Arrival is first come, first served with a common bound and no early
-	// refusal: the baseline for measurements.
-	Arrival
+	// FIFO serves in order of arrival, with one bound on the queue and no early
+	// refusal. It is the baseline for benchmarks.
+	FIFO
 )
 
-// starvationTurns is how many items of higher classes may be served while a
-// class waits; the next turn is its own. It bounds what strict priority can
-// take to starvationTurns in starvationTurns+1.
-const starvationTurns = 16
+// maxBypass is how many items of higher classes may be served while a class
+// waits; the class gets the next turn. It limits strict priority to maxBypass of
+// maxBypass+1 turns.
+const maxBypass = 16
 
-// Options are the limits of one queue.
+// Options configure a Queue.
 type Options struct {
 	Order Order
-	// Slots is how many requests may run at a time.
+	// Slots is the maximum number of running requests.
 	Slots int
-	// MaxQueue is how many may wait.
+	// MaxQueue is the maximum number of waiting items.
 	MaxQueue int
 }
 
-// Queue is the waiting sub-requests of one upstream. Every operation but Expire
-// and Flush is O(log n). It is not safe for concurrent use.
+// Queue holds the waiting sub-requests of one upstream and counts the running
+// ones. Every operation but Expire and Flush is O(log n). It is not safe for
+// concurrent use.
 type Queue struct {
 	opts      Options
-	classes   [classes]class
+	classes   [numClasses]class
 	customers map[string]*customer
-	// holders are the customers with items.
-	holders placedHeap[*customer]
-	// weight is the sum over the holders.
+	// active holds the customers with items.
+	active indexedHeap[*customer]
+	// weight is the sum of the weights of the active customers.
 	weight  float64
 	byKey   map[Key]*Item
 	service estimate
 	running int
 	serial  uint64
-	// sweepAt is the number of customers at which the idle ones are forgotten.
-	sweepAt int
+	// idleSweepSize is the number of customers at which idle ones are removed.
+	idleSweepSize int
 }
 
-// New makes an empty queue.
+// New returns an empty queue.
 func New(opts Options) *Queue {
 	q := &Queue{opts: opts, customers: map[string]*customer{}, byKey: map[Key]*Item{}}
 	for i := range q.classes {
@@ -60,38 +62,38 @@
 	return q
 }
 
-// SetSlots changes the number of slots; requests that run are not cut off.
+// SetSlots changes the number of slots. Running requests are not interrupted.
 func (q *Queue) SetSlots(n int) {
 	q.opts.Slots = n
 }
 
-// Push takes an item in, or refuses it. Displaced, when set, is an item that
-// gave its place up and did not run.
+// Push adds an item or refuses it. displaced, when not nil, is an item that was
+// evicted to make room and did not run.
 func (q *Queue) Push(now time.Time, it *Item) (refusal *Refusal, displaced *Refused) {
 	if !now.Before(it.Deadline) {
 		return &Refusal{Result: pb.Result_TOO_LATE, Reason: DeadlinePassed}, nil
 	}
-	if q.opts.Order == Arrival {
-		return q.pushArrival(it), nil
+	if q.opts.Order == FIFO {
+		return q.pushFIFO(it), nil
 	}
 	cu := q.customer(it)
-	if wait := q.predictedWait(cu, it); q.hopeless(now, it, wait) {
+	if wait := q.predictedWait(cu, it); q.missesDeadline(now, it, wait) {
 		return &Refusal{Result: pb.Result_TOO_LATE, Reason: PredictedWait, RetryAfter: wait}, nil
 	}
 	if len(q.byKey) >= q.opts.MaxQueue {
 		victim := q.victim(cu, it)
 		if victim == nil {
-			return &Refusal{Result: pb.Result_QUEUE_FULL, Reason: QueueFull, RetryAfter: q.emptiesIn()}, nil
+			return &Refusal{Result: pb.Result_QUEUE_FULL, Reason: QueueFull, RetryAfter: q.drainTime()}, nil
 		}
 		q.remove(victim)
-		displaced = &Refused{Item: victim, Refusal: Refusal{Result: pb.Result_QUEUE_FULL, Reason: Displaced, RetryAfter: q.emptiesIn()}}
+		displaced = &Refused{Item: victim, Refusal: Refusal{Result: pb.Result_QUEUE_FULL, Reason: Displaced, RetryAfter: q.drainTime()}}
 	}
 	q.add(cu, it)
 	return nil, displaced
 }
 
-// pushArrival treats all items as one customer's of one class.
-func (q *Queue) pushArrival(it *Item) *Refusal {
+// pushFIFO adds an item as if all belonged to one customer and one class.
+func (q *Queue) pushFIFO(it *Item) *Refusal {
 	if len(q.byKey) >= q.opts.MaxQueue {
 		return &Refusal{Result: pb.Result_QUEUE_FULL, Reason: QueueFull}
 	}
@@ -99,33 +101,34 @@
 	return nil
 }
 
-// hopeless tells whether an item could not be answered in time after a wait.
-// An upstream with nothing to do is always tried: refusing on an estimate that
-// has become too high would leave nothing to correct it, and the upstream would
-// stay unused for good.
-func (q *Queue) hopeless(now time.Time, it *Item, wait time.Duration) bool {
+// missesDeadline reports whether an item could not be answered in time after
+// waiting. An idle upstream is always tried: if an estimate that is too high
+// refused every request, no new observation would correct it, and the upstream
+// would stay unused.
+func (q *Queue) missesDeadline(now time.Time, it *Item, wait time.Duration) bool {
 	if q.running == 0 && len(q.byKey) == 0 {
 		return false
 	}
-	return now.Add(wait + q.service.least()).After(it.Deadline)
+	return now.Add(wait + q.service.lowerBound()).After(it.Deadline)
 }
 
-// predictedWait is the time until the item would get a slot: the items that
-// would be served before it, at the typical service time over all slots.
+// predictedWait estimates the time until the item gets a slot: the items served
+// before it, at the typical service time, spread over all slots.
 func (q *Queue) predictedWait(cu *customer, it *Item) time.Duration {
 	if q.running < q.opts.Slots && len(q.byKey) == 0 {
 		return 0
 	}
 	cl := q.class(it)
 	ahead := float64(q.aheadInClass(cl, cu, it) + 1)
-	for i := cl.index + 1; i < classes; i++ {
+	for i := cl.index + 1; i < numClasses; i++ {
 		ahead += float64(q.classes[i].len)
 	}
 	return time.Duration(ahead * float64(q.service.typical()) / float64(max(1, q.opts.Slots)))
 }
 
-// aheadInClass counts the items of the class served first: its customer's own
-// of an earlier deadline, and what the others are due meanwhile.
+// aheadInClass estimates how many items of the class are served first: those of
+// the same customer with earlier deadlines, and the turns that the other
+// customers get meanwhile.
 func (q *Queue) aheadInClass(cl *class, cu *customer, it *Item) int {
 	weight := itemWeight(it)
 	own, total := 0, cl.weight
@@ -139,37 +142,37 @@
 	return min(due, cl.len)
 }
 
-// emptiesIn is the time in which the slots would serve all that waits.
-func (q *Queue) emptiesIn() time.Duration {
+// drainTime estimates how long the slots need to serve all waiting items.
+func (q *Queue) drainTime() time.Duration {
 	return q.service.typical() * time.Duration(len(q.byKey)) / time.Duration(max(1, q.opts.Slots))
 }
 
-// victim is the item that gives its place in a full queue to the newcomer: the
-// newcomer's own customer's youngest of a lower class, or else the youngest of
-// the lowest class of the customer furthest above its share, if the newcomer's
-// customer is below its own.
+// victim selects the item to evict from a full queue in favour of it, or nil. It
+// prefers the newest item of a lower class of the same customer. Otherwise, if
+// that customer is below its share, it is the newest item of the lowest class of
+// the customer with the highest usage.
 func (q *Queue) victim(cu *customer, it *Item) *Item {
 	for i := range q.class(it).index {
-		if cu.waiting[i] > 0 {
+		if cu.waitingByClass[i] > 0 {
 			return q.classes[i].flows[cu].newest
 		}
 	}
-	most := q.holders[0]
-	if most == cu || float64(cu.len+1)/cu.weight >= most.use() {
+	heaviest := q.active[0]
+	if heaviest == cu || float64(cu.len+1)/cu.weight >= heaviest.usage() {
 		return nil
 	}
 	if float64(cu.len+1) > q.share(cu) {
 		return nil
 	}
-	for i := range classes {
-		if most.waiting[i] > 0 {
-			return q.classes[i].flows[most].newest
+	for i := range numClasses {
+		if heaviest.waitingByClass[i] > 0 {
+			return q.classes[i].flows[heaviest].newest
 		}
 	}
 	return nil
 }
 
-// share is a customer's part of the bound, at least one place.
+// share is a customer's part of MaxQueue, at least one place.
 func (q *Queue) share(cu *customer) float64 {
 	total := q.weight
 	if cu.index < 0 {
@@ -178,22 +181,22 @@
 	return max(1, float64(q.opts.MaxQueue)*cu.weight/total)
 }
 
-// Pop starts the next item when a slot is free. Late are the items found on the
-// way whose time no longer suffices: they take no slot.
+// Pop starts the next item if a slot is free. late holds the items removed on
+// the way because their remaining time is too short; they take no slot.
 func (q *Queue) Pop(now time.Time) (next *Item, late []Refused) {
 	for q.running < q.opts.Slots && len(q.byKey) > 0 {
-		cl := q.choose()
+		cl := q.nextClass()
 		it := cl.head()
 		if reason, ok := q.tooLate(now, it); ok {
-			// Its customer keeps the turn. Were the turn lost, a customer of
-			// little weight whose items are served just in time would lose
-			// turn after turn to items that are just too late.
+			// The customer keeps its turn. Otherwise a customer of little weight
+			// whose items are served just in time would lose one turn after
+			// another to items that are slightly too late.
 			q.remove(it)
 			late = append(late, Refused{Item: it, Refusal: Refusal{Result: pb.Result_TOO_LATE, Reason: reason}})
 			continue
 		}
-		q.countTurn(cl)
-		cl.serve()
+		q.countBypass(cl)
+		cl.dequeue()
 		q.unlink(it)
 		q.running++
 		return it, late
@@ -205,20 +208,20 @@
 	if !now.Before(it.Deadline) {
 		return DeadlinePassed, true
 	}
-	// As in hopeless, an upstream with nothing to do is always tried.
-	if q.opts.Order == Arrival || q.running == 0 {
+	// As in missesDeadline, an idle upstream is always tried.
+	if q.opts.Order == FIFO || q.running == 0 {
 		return "", false
 	}
-	need := q.service.least()
+	need := q.service.lowerBound()
 	if len(q.byKey) > q.opts.Slots {
-		need = q.service.likely()
+		need = q.service.upperBound()
 	}
 	return CannotFinish, now.Add(need).After(it.Deadline)
 }
 
-// choose is the class whose turn it is: the highest with items, unless a lower
-// one has been bypassed too often.
-func (q *Queue) choose() *class {
+// nextClass returns the class whose turn it is: the highest with items, unless a
+// lower one was bypassed maxBypass times.
+func (q *Queue) nextClass() *class {
 	var best *class
 	for i := range q.classes {
 		c := &q.classes[i]
@@ -226,15 +229,15 @@
 			c.bypassed = 0
 			continue
 		}
-		if best == nil || best.bypassed < starvationTurns {
+		if best == nil || best.bypassed < maxBypass {
 			best = c
 		}
 	}
 	return best
 }
 
-// countTurn notes that the lower classes are passed by once more.
-func (q *Queue) countTurn(served *class) {
+// countBypass counts a bypass for each lower class with items.
+func (q *Queue) countBypass(served *class) {
 	for i := range served.index {
 		if q.classes[i].len > 0 {
 			q.classes[i].bypassed++
@@ -243,8 +246,8 @@
 	served.bypassed = 0
 }
 
-// Done frees the slot of a started item that took d. Cut off says that the
-// request was given up after d, so that it may have needed longer.
+// Done frees the slot of a started item that took d. cutOff means that the
+// request was abandoned after d, so its service time is at least d.
 func (q *Queue) Done(d time.Duration, cutOff bool) {
 	q.running--
 	if cutOff && d < q.service.typical() {
@@ -253,13 +256,13 @@
 	q.service.observe(d)
 }
 
-// Release frees the slot of a started item that tells nothing of the service
-// time, such as one that was refused.
+// Release frees the slot of a started item without an observation of the service
+// time, for example after a refusal.
 func (q *Queue) Release() {
 	q.running--
 }
 
-// Cancel removes a waiting item; it did not run.
+// Cancel removes a waiting item. The item does not run.
 func (q *Queue) Cancel(key Key) (*Item, bool) {
 	it, ok := q.byKey[key]
 	if ok {
@@ -268,12 +271,12 @@
 	return it, ok
 }
 
-// Expire removes the items whose deadline has passed. It is for a periodic call,
-// so that they are answered although no slot becomes free.
+// Expire removes the items whose deadline has passed. It is called periodically
+// so that they are answered even if no slot becomes free.
 func (q *Queue) Expire(now time.Time) []Refused {
 	var late []Refused
 	for i := range q.classes {
-		for _, f := range append(placedHeap[*flow](nil), q.classes[i].ready...) {
+		for _, f := range append(indexedHeap[*flow](nil), q.classes[i].active...) {
 			for len(f.items) > 0 && !now.Before(f.items[0].Deadline) {
 				it := f.items[0]
 				q.remove(it)
@@ -284,12 +287,12 @@
 	return late
 }
 
-// Flush removes every waiting item.
+// Flush removes every waiting item with the given refusal.
 func (q *Queue) Flush(why Refusal) []Refused {
 	var out []Refused
 	for i := range q.classes {
 		for c := &q.classes[i]; c.len > 0; {
-			it := c.serve()
+			it := c.dequeue()
 			q.unlink(it)
 			out = append(out, Refused{Item: it, Refusal: why})
 		}
@@ -297,28 +300,28 @@
 	return out
 }
 
-// Len is how many wait; Running is how many hold a slot.
+// Len returns the number of waiting items, Running the number of used slots.
 func (q *Queue) Len() int     { return len(q.byKey) }
 func (q *Queue) Running() int { return q.running }
 
-// ServiceTime is the typical service time; 0 while nothing was observed.
+// ServiceTime returns the mean service time; 0 before the first observation.
 func (q *Queue) ServiceTime() time.Duration { return q.service.typical() }
 
 func (q *Queue) class(it *Item) *class {
-	if q.opts.Order == Arrival {
+	if q.opts.Order == FIFO {
 		return &q.classes[0]
 	}
-	return &q.classes[min(max(int(it.Priority), 0), classes-1)]
+	return &q.classes[min(max(int(it.Priority), 0), numClasses-1)]
 }
 
-// customer finds the item's customer and notes its newest weight.
+// customer returns the item's customer and updates its weight.
 func (q *Queue) customer(it *Item) *customer {
 	cu := q.customerNamed(it.Customer)
 	weight := itemWeight(it)
 	if cu.index >= 0 && cu.weight != weight {
 		q.weight += weight - cu.weight
 		cu.weight = weight
-		heap.Fix(&q.holders, cu.index)
+		heap.Fix(&q.active, cu.index)
 	}
 	cu.weight = weight
 	return cu
@@ -327,35 +330,37 @@
 func (q *Queue) customerNamed(name string) *customer {
 	cu := q.customers[name]
 	if cu == nil {
-		q.sweep()
+		q.removeIdleCustomers()
 		cu = &customer{name: name, weight: 1, index: -1}
 		q.customers[name] = cu
 	}
 	return cu
 }
 
-// idleCustomers is how many customers without items are remembered at least:
-// their flows tell what they took ahead of their share.
-const idleCustomers = 64
+// minIdleCustomers is how many further customers may be added before idle ones
+// are removed. Idle customers are kept because their flows record the turns that
+// they took ahead of their share.
+const minIdleCustomers = 64
 
-// sweep forgets idle customers. The next sweep is due when their number has
-// doubled, so that its cost is spread over as many newcomers.
-func (q *Queue) sweep() {
-	if len(q.customers) < q.sweepAt {
+// removeIdleCustomers removes idle customers without flows. It runs again once
+// the number of customers has about doubled, so its amortised cost per new
+// customer is constant.
+func (q *Queue) removeIdleCustomers() {
+	if len(q.customers) < q.idleSweepSize {
 		return
 	}
 	for i := range q.classes {
-		q.classes[i].sweep()
+		q.classes[i].removeIdleFlows()
 	}
 	for name, cu := range q.customers {
-		if cu.index < 0 && !q.remembered(cu) {
+		if cu.index < 0 && !q.hasFlow(cu) {
 			delete(q.customers, name)
 		}
 	}
-	q.sweepAt = 2*len(q.customers) + idleCustomers
+	q.idleSweepSize = 2*len(q.customers) + minIdleCustomers
 }
 
-func (q *Queue) remembered(cu *customer) bool {
+func (q *Queue) hasFlow(cu *customer) bool {
 	for i := range q.classes {
 		if q.classes[i].flows[cu] != nil {
 			return true
@@ -369,39 +374,39 @@
 	it.serial = q.serial
 	cl := q.class(it)
 	if q.opts.Order == Fair {
-		it.due = it.Deadline
+		it.sortTime = it.Deadline
 	}
 	cl.add(cu, it, itemWeight(it))
 	q.byKey[it.Key] = it
 	cu.len++
-	cu.waiting[cl.index]++
+	cu.waitingByClass[cl.index]++
 	if cu.index < 0 {
 		q.weight += cu.weight
-		heap.Push(&q.holders, cu)
+		heap.Push(&q.active, cu)
 		return
 	}
-	heap.Fix(&q.holders, cu.index)
+	heap.Fix(&q.active, cu.index)
 }
 
-// remove takes a waiting item out of everything.
+// remove removes a waiting item from all indices.
 func (q *Queue) remove(it *Item) {
 	it.flow.class.remove(it)
 	q.unlink(it)
 }
 
-// unlink takes an item that has left its class out of the rest.
+// unlink removes an item that has left its class from the other indices.
 func (q *Queue) unlink(it *Item) {
 	delete(q.byKey, it.Key)
 	cu := it.flow.customer
 	cu.len--
-	cu.waiting[it.flow.class.index]--
+	cu.waitingByClass[it.flow.class.index]--
 	if cu.len > 0 {
-		heap.Fix(&q.holders, cu.index)
+		heap.Fix(&q.active, cu.index)
 		return
 	}
-	heap.Remove(&q.holders, cu.index)
+	heap.Remove(&q.active, cu.index)
 	q.weight -= cu.weight
-	if len(q.holders) == 0 {
+	if len(q.active) == 0 {
 		q.weight = 0
 	}
 }
--- a/internal/dispatch/queue_test.go
+++ b/internal/dispatch/queue_test.go
@@ -19,7 +19,7 @@
 	return &Item{Key: Key{VM: "vm-1", Incarnation: 1, ID: id}, Customer: customer, Priority: p, Weight: 1, Deadline: at(deadlineMS)}
 }
 
-// drain serves one item at a time and names the customers in order.
+// drain serves one item at a time and returns customer and id of each, in order.
 func drain(q *Queue, now time.Time) []string {
 	var out []string
 	for {
@@ -55,7 +55,7 @@
 		"turns by weight": {Fair, []*Item{
 			item(3, "a", pb.Priority_LOW, 100), item(4, "a", pb.Priority_LOW, 100), weighted, weighted2,
 		}, []string{"a3", "b1", "b2", "a4"}},
-		"first come, first served": {Arrival, []*Item{
+		"first come, first served": {FIFO, []*Item{
 			item(1, "a", pb.Priority_LOW, 300), item(2, "b", pb.Priority_HIGH, 100), item(3, "a", pb.Priority_LOW, 200),
 		}, []string{"a1", "b2", "a3"}},
 	} {
@@ -72,9 +72,8 @@
 	}
 }
 
-// Symptom: a low-priority kind is never answered while a high one is busy.
-// Sequence: 100 high items and one low one wait for one slot.
-// Cause: strict priority without a bound.
+// A low-priority item is served although 100 items of high priority wait for the
+// same slot: strict priority has a bound.
 func TestStarvation(t *testing.T) {
 	g := NewWithT(t)
 	q := New(Options{Slots: 1, MaxQueue: 200})
@@ -82,12 +81,11 @@
 	for i := range uint64(100) {
 		q.Push(at(0), item(2+i, "high", pb.Priority_HIGH, 1000))
 	}
-	g.Expect(drain(q, at(0))[starvationTurns]).To(Equal("low1"))
+	g.Expect(drain(q, at(0))[maxBypass]).To(Equal("low1"))
 }
 
-// Symptom: one customer's burst makes every other customer's requests fail.
-// Sequence: a fills the queue; b and c come after.
-// Cause: a bound on the whole queue only.
+// A customer that fills the queue does not cause the requests of others to fail:
+// they displace its items up to their share.
 func TestFullQueue(t *testing.T) {
 	g := NewWithT(t)
 	q := New(Options{Slots: 1, MaxQueue: 6})
@@ -97,18 +95,18 @@
 	refusal, _ := q.Push(at(0), item(7, "a", pb.Priority_LOW, 1000))
 	g.Expect(refusal.Reason).To(Equal(QueueFull))
 	for i, want := range []struct {
-		customer string
-		priority pb.Priority
-		gives    uint64
-		refused  Reason
+		customer  string
+		priority  pb.Priority
+		displaces uint64
+		refused   Reason
 	}{
-		{customer: "b", priority: pb.Priority_LOW, gives: 6},
-		{customer: "b", priority: pb.Priority_LOW, gives: 5},
-		{customer: "b", priority: pb.Priority_LOW, gives: 4},
+		{customer: "b", priority: pb.Priority_LOW, displaces: 6},
+		{customer: "b", priority: pb.Priority_LOW, displaces: 5},
+		{customer: "b", priority: pb.Priority_LOW, displaces: 4},
 		{customer: "b", priority: pb.Priority_LOW, refused: QueueFull},
-		{customer: "c", priority: pb.Priority_LOW, gives: 3},
-		// A customer's higher class takes the place of its own lower one.
-		{customer: "a", priority: pb.Priority_HIGH, gives: 2},
+		{customer: "c", priority: pb.Priority_LOW, displaces: 3},
+		// A higher class displaces a lower class of the same customer.
+		{customer: "a", priority: pb.Priority_HIGH, displaces: 2},
 	} {
 		refusal, displaced := q.Push(at(0), item(uint64(20+i), want.customer, want.priority, 1000))
 		if want.refused != "" {
@@ -116,7 +114,7 @@
 			continue
 		}
 		g.Expect(refusal).To(BeNil(), "step %d", i)
-		g.Expect(displaced.Item.Key.ID).To(Equal(want.gives), "step %d", i)
+		g.Expect(displaced.Item.Key.ID).To(Equal(want.displaces), "step %d", i)
 		g.Expect(displaced.Result).To(Equal(pb.Result_QUEUE_FULL))
 	}
 	g.Expect(q.Len()).To(Equal(6))
@@ -130,16 +128,16 @@
 		want     Reason
 		retry    time.Duration
 	}{
-		"time is up":                      {0, pb.Priority_LOW, 0, DeadlinePassed, 0},
-		"room before the deadline":        {4, pb.Priority_LOW, 100, "", 0},
-		"queue ahead too long":            {8, pb.Priority_LOW, 50, PredictedWait, 45 * time.Millisecond},
-		"an earlier deadline goes first":  {8, pb.Priority_LOW, 40, "", 0},
-		"a higher class waits for no one": {8, pb.Priority_HIGH, 50, "", 0},
+		"deadline passed":                              {0, pb.Priority_LOW, 0, DeadlinePassed, 0},
+		"enough time left":                             {4, pb.Priority_LOW, 100, "", 0},
+		"the predicted wait is too long":               {8, pb.Priority_LOW, 50, PredictedWait, 45 * time.Millisecond},
+		"an earlier deadline goes first":               {8, pb.Priority_LOW, 40, "", 0},
+		"a higher class does not wait for a lower one": {8, pb.Priority_HIGH, 50, "", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			q := New(Options{Slots: 2, MaxQueue: 100})
-			busy(q, 2, 10*time.Millisecond)
+			occupySlots(q, 2, 10*time.Millisecond)
 			for i := range c.waiting {
 				q.Push(at(0), item(uint64(100+i), "a", pb.Priority_LOW, 50))
 			}
@@ -154,8 +152,8 @@
 	}
 }
 
-// busy takes n slots and teaches the queue a steady service time.
-func busy(q *Queue, n int, service time.Duration) {
+// occupySlots occupies n slots and feeds the queue a steady service time.
+func occupySlots(q *Queue, n int, service time.Duration) {
 	for i := range n {
 		q.Push(at(0), item(uint64(1000+i), "busy", pb.Priority_LOW, 10_000))
 		q.Pop(at(0))
@@ -165,13 +163,12 @@
 	}
 }
 
-// Symptom: slots are taken by work whose answer comes too late for its caller.
-// Sequence: an item with 5 ms left is next; the service takes 20 ms.
-// Cause: only a passed deadline was looked at.
+// An item with 5 ms left takes no slot when the service time is 20 ms: its
+// answer would be too late for its caller.
 func TestCannotFinish(t *testing.T) {
 	g := NewWithT(t)
 	q := New(Options{Slots: 2, MaxQueue: 100})
-	busy(q, 2, 20*time.Millisecond)
+	occupySlots(q, 2, 20*time.Millisecond)
 	g.Expect(q.Push(at(0), item(1, "a", pb.Priority_LOW, 100))).To(BeNil())
 	g.Expect(q.Push(at(0), item(2, "b", pb.Priority_LOW, 300))).To(BeNil())
 	q.Release()
@@ -181,10 +178,9 @@
 	g.Expect(late[0].Reason).To(Equal(CannotFinish))
 }
 
-// Symptom: an upstream that was slow for a while is never used again.
-// Sequence: the estimate has risen to a second, deadlines are 100 ms, all slots
-// are free.
-// Cause: every request is refused on the estimate, so that no new time comes in.
+// An idle upstream is tried although the estimate has risen to a second and
+// deadlines are 100 ms. Refusing on the estimate would leave it without new
+// observations, and the upstream unused.
 func TestIdleUpstreamIsTried(t *testing.T) {
 	g := NewWithT(t)
 	q := New(Options{Slots: 2, MaxQueue: 100})
@@ -194,13 +190,12 @@
 	g.Expect(next).NotTo(BeNil())
 }
 
-// Symptom: an expired item is answered only when a slot becomes free.
-// Sequence: every slot hangs; the deadline passes.
-// Cause: deadlines were looked at in Pop alone.
+// An item is answered when its deadline passes, even if every slot hangs and Pop
+// starts nothing.
 func TestExpire(t *testing.T) {
 	g := NewWithT(t)
 	q := New(Options{Slots: 1, MaxQueue: 100})
-	busy(q, 1, time.Millisecond)
+	occupySlots(q, 1, time.Millisecond)
 	q.Push(at(0), item(1, "a", pb.Priority_LOW, 50))
 	q.Push(at(0), item(2, "b", pb.Priority_HIGH, 500))
 	late := q.Expire(at(50))
@@ -215,13 +210,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(Options{Slots: 3, MaxQueue: 8})
 		now, id := 0, uint64(0)
-		inside := map[uint64]*Item{}
+		queued := map[uint64]*Item{}
 		running := 0
 		leave := func(it *Item) {
-			if inside[it.Key.ID] != it {
+			if queued[it.Key.ID] != it {
 				t.Fatalf("item %d left twice or was never in", it.Key.ID)
 			}
-			delete(inside, it.Key.ID)
+			delete(queued, it.Key.ID)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
@@ -234,7 +229,7 @@
 					leave(displaced.Item)
 				}
 				if refusal == nil {
-					inside[id] = it
+					queued[id] = it
 				}
 			},
 			"pop": func(t *rapid.T) {
@@ -275,28 +270,28 @@
 					}
 				}
 			},
-			"": func(t *rapid.T) { check(t, q, len(inside), running) },
+			"": func(t *rapid.T) { checkInvariants(t, q, len(queued), running) },
 		})
 	})
 }
 
-func check(t *rapid.T, q *Queue, inside, running int) {
-	if q.Len() != inside || inside > 8 {
-		t.Fatalf("holds %d, want %d and at most 8", q.Len(), inside)
+func checkInvariants(t *rapid.T, q *Queue, queued, running int) {
+	if q.Len() != queued || queued > 8 {
+		t.Fatalf("holds %d, want %d and at most 8", q.Len(), queued)
 	}
 	if q.Running() != running || running > 3 {
 		t.Fatalf("runs %d, want %d and at most 3", q.Running(), running)
 	}
-	byClass, byHolder := 0, 0
+	byClass, byCustomer := 0, 0
 	for i := range q.classes {
 		byClass += q.classes[i].len
 	}
 	weight := 0.0
-	for _, cu := range q.holders {
-		byHolder += cu.len
+	for _, cu := range q.active {
+		byCustomer += cu.len
 		weight += cu.weight
 	}
-	if byClass != inside || byHolder != inside || weight != q.weight {
-		t.Fatalf("indices disagree: %d by class, %d by customer, %d in all", byClass, byHolder, inside)
+	if byClass != queued || byCustomer != queued || weight != q.weight {
+		t.Fatalf("indices disagree: %d by class, %d by customer, %d in all", byClass, byCustomer, queued)
 	}
 }
--- a/internal/dispatch/sim_test.go
+++ b/internal/dispatch/sim_test.go
@@ -13,9 +13,9 @@
 )
 
 // The simulation runs the real queue and limiter against a model of one upstream
-// in simulated time, so that its figures are the same on every machine.
+// in simulated time, so its results are the same on every machine.
 
-// source is one customer's arrivals.
+// source generates the arrivals of one customer.
 type source struct {
 	name     string
 	rate     float64 // per second
@@ -24,11 +24,11 @@
 	deadline time.Duration
 }
 
-// model is an upstream.
+// model describes the upstream.
 type model struct {
-	// slots run at a time; more are shed.
+	// slots is the number of concurrent requests; further ones are shed.
 	slots int
-	// service draws a time; running includes the request itself.
+	// service draws a service time; running includes the request itself.
 	service func(rng *rand.Rand, running int) time.Duration
 }
 
@@ -40,8 +40,8 @@
 	length    time.Duration
 	sources   []source
 	model     model
-	// before changes the model as time goes on.
-	before func(now time.Duration, m *model)
+	// updateModel updates the model ahead of each event.
+	updateModel func(now time.Duration, m *model)
 
 	rng     *rand.Rand
 	queue   *Queue
@@ -54,7 +54,7 @@
 	sent    int
 }
 
-// outcome is what became of one customer's requests.
+// outcome counts the results of one customer's requests.
 type outcome struct {
 	offered, inTime, late, refused int
 	waits                          []time.Duration
@@ -113,8 +113,8 @@
 	for s.events.Len() > 0 {
 		e := heap.Pop(&s.events).(simEvent)
 		s.now = e.at
-		if s.before != nil {
-			s.before(s.now, &s.model)
+		if s.updateModel != nil {
+			s.updateModel(s.now, &s.model)
 		}
 		e.run()
 	}
@@ -208,7 +208,7 @@
 	return float64(n) / s.length.Seconds()
 }
 
-// logNormal has the median and spread of the stand-in upstreams.
+// logNormal draws service times with the distribution of the stand-in upstreams.
 func logNormal(median time.Duration, spread float64) func(*rand.Rand, int) time.Duration {
 	return func(rng *rand.Rand, _ int) time.Duration {
 		return time.Duration(float64(median) * math.Exp(spread*rng.NormFloat64()))
@@ -217,13 +217,14 @@
 
 const simLength = 60 * time.Second
 
-// capacity of five slots at a median of 10 ms and a spread of 0.3, per second.
+// capacity is the requests per second of five slots with a median service time
+// of 10 ms and a spread of 0.3.
 var capacity = 5 / (0.010 * math.Exp(0.3*0.3/2))
 
 var orders = []struct {
 	name  string
 	order Order
-}{{"arrival", Arrival}, {"fair", Fair}}
+}{{"arrival", FIFO}, {"fair", Fair}}
 
 func base(order Order, sources []source) *simulation {
 	return &simulation{
@@ -236,9 +237,9 @@
 	}
 }
 
-// customers are eight at 9% of the capacity each; the first is at a multiple of
-// that.
-func eight(times float64) []source {
+// eightCustomers returns eight customers at 9% of the capacity each; the first
+// offers the given multiple of that.
+func eightCustomers(times float64) []source {
 	var out []source
 	for i := range 8 {
 		rate := 0.09 * capacity
@@ -250,7 +251,7 @@
 	return out
 }
 
-// others is the outcome over all customers but the first.
+// others sums the outcomes of all customers but the first.
 func others(s *simulation) *outcome {
 	sum := &outcome{}
 	for name, o := range s.result {
@@ -266,14 +267,15 @@
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// BenchmarkIsolation: one customer at ten times its share, the others at theirs.
+// BenchmarkIsolation runs one customer at ten times its share and the others at
+// theirs.
 func BenchmarkIsolation(b *testing.B) {
 	for _, o := range orders {
 		for _, times := range []float64{1, 10} {
 			b.Run(fmt.Sprintf("%s/first=%gx", o.name, times), func(b *testing.B) {
 				var s *simulation
 				for range b.N {
-					s = base(o.order, eight(times)).run()
+					s = base(o.order, eightCustomers(times)).run()
 				}
 				sum := others(s)
 				b.ReportMetric(ms(sum.quantile(0.5)), "others-p50-ms")
@@ -286,7 +288,7 @@
 	}
 }
 
-// BenchmarkGoodput: answers in time from one to five times the capacity.
+// BenchmarkGoodput reports the answers in time at 0.8 to 5 times the capacity.
 func BenchmarkGoodput(b *testing.B) {
 	for _, o := range orders {
 		for _, load := range []float64{0.8, 1, 1.5, 2, 3, 5} {
@@ -310,9 +312,9 @@
 	return out
 }
 
-// BenchmarkLimit: each policy before an upstream that bears less than published,
-// one whose latency grows with concurrency, and one with a slow spell that has
-// nothing to do with concurrency.
+// BenchmarkLimit runs each policy against an upstream with fewer slots than
+// published, one whose latency grows with concurrency, and one with a slow
+// period that does not depend on concurrency.
 func BenchmarkLimit(b *testing.B) {
 	policies := []struct {
 		name   string
@@ -324,14 +326,14 @@
 		before func(time.Duration, *model)
 	}{
 		{"two-of-five", model{slots: 2, service: logNormal(10*time.Millisecond, 0.3)}, nil},
-		{"five-then-two-then-five", model{slots: 5, service: logNormal(10*time.Millisecond, 0.3)}, spell(func(m *model, in bool) {
+		{"five-then-two-then-five", model{slots: 5, service: logNormal(10*time.Millisecond, 0.3)}, middleThird(func(m *model, in bool) {
 			m.slots = 5
 			if in {
 				m.slots = 2
 			}
 		})},
-		{"shared-processor", model{slots: 5, service: shared(10*time.Millisecond, 2)}, nil},
-		{"slow-spell", model{slots: 5, service: logNormal(10*time.Millisecond, 0.3)}, spell(func(m *model, in bool) {
+		{"shared-processor", model{slots: 5, service: sharedProcessors(10*time.Millisecond, 2)}, nil},
+		{"slow-spell", model{slots: 5, service: logNormal(10*time.Millisecond, 0.3)}, middleThird(func(m *model, in bool) {
 			m.service = logNormal(10*time.Millisecond, 0.3)
 			if in {
 				m.service = logNormal(40*time.Millisecond, 0.3)
@@ -344,7 +346,7 @@
 				var s *simulation
 				for range b.N {
 					s = base(Fair, scaled(0.7))
-					s.limit, s.model, s.before = p.policy, mo.model, mo.before
+					s.limit, s.model, s.updateModel = p.policy, mo.model, mo.before
 					s.run()
 				}
 				b.ReportMetric(s.goodput(), "goodput/s")
@@ -355,8 +357,8 @@
 	}
 }
 
-// spell is a change between 20 and 40 s.
-func spell(change func(m *model, in bool)) func(time.Duration, *model) {
+// middleThird applies change in the middle third of a run, between 20 and 40 s.
+func middleThird(change func(m *model, in bool)) func(time.Duration, *model) {
 	in := false
 	return func(now time.Duration, m *model) {
 		if is := now >= simLength/3 && now < 2*simLength/3; is != in {
@@ -366,30 +368,32 @@
 	}
 }
 
-// shared is a server of cores processors: more requests share them.
-func shared(median time.Duration, cores int) func(*rand.Rand, int) time.Duration {
+// sharedProcessors models an upstream whose requests share the given number of
+// processors.
+func sharedProcessors(median time.Duration, cores int) func(*rand.Rand, int) time.Duration {
 	draw := logNormal(median, 0.3)
 	return func(rng *rand.Rand, running int) time.Duration {
 		return time.Duration(float64(draw(rng, running)) * max(1, float64(running)/float64(cores)))
 	}
 }
 
-// TestIsolation and the others pin what the benchmarks show; simulated time
-// makes the figures the same on every machine.
+// TestIsolation and the tests below check the results of the benchmarks.
+// Simulated time makes them the same on every machine.
 func TestIsolation(t *testing.T) {
-	alone, flooded := others(base(Fair, eight(1)).run()), others(base(Fair, eight(10)).run())
+	alone, flooded := others(base(Fair, eightCustomers(1)).run()), others(base(Fair, eightCustomers(10)).run())
 	if flooded.success() < 0.9*alone.success() {
 		t.Errorf("others' success fell from %.3f to %.3f", alone.success(), flooded.success())
 	}
 	if a, f := alone.quantile(0.99), flooded.quantile(0.99); float64(f) > 1.1*float64(a) {
 		t.Errorf("others' p99 rose from %v to %v", a, f)
 	}
-	if fifo := others(base(Arrival, eight(10)).run()); fifo.success() > 0.9*alone.success() {
-		t.Errorf("the baseline shows no harm (%.3f): the check cannot fail", fifo.success())
+	if fifo := others(base(FIFO, eightCustomers(10)).run()); fifo.success() > 0.9*alone.success() {
+		t.Errorf("FIFO order shows no degradation (%.3f): the comparison above proves nothing", fifo.success())
 	}
 }
 
-// TestLimitSettles: an upstream that bears two of five slots sheds little.
+// TestLimitSettles checks that an upstream with room for two of five published
+// slots sheds few requests.
 func TestLimitSettles(t *testing.T) {
 	s := base(Fair, scaled(0.7))
 	s.model.slots = 2
@@ -410,7 +414,7 @@
 	}
 }
 
-// weighted are three customers that each offer the whole capacity.
+// weighted returns three customers that each offer the whole capacity.
 func weighted() []source {
 	var out []source
 	for _, w := range []uint32{4, 2, 1} {
@@ -419,19 +423,20 @@
 	return out
 }
 
-// classed are a low and a high kind; the high one alone offers most of the
-// capacity, the low one all of it.
-func classed(high float64) []source {
+// twoClasses returns a high class that offers the given multiple of the capacity
+// and a low class that offers all of it.
+func twoClasses(high float64) []source {
 	return []source{
 		{"high", high * capacity, 1, pb.Priority_HIGH, 200 * time.Millisecond},
 		{"low", capacity, 1, pb.Priority_LOW, 200 * time.Millisecond},
 	}
 }
 
-// BenchmarkShares: what customers get of the capacity, by weight and by class.
+// BenchmarkShares reports the part of the capacity that each customer gets, by
+// weight and by class.
 func BenchmarkShares(b *testing.B) {
 	for name, sources := range map[string][]source{
-		"weights-4-2-1": weighted(), "high-at-0.8x": classed(0.8), "high-at-3x": classed(3),
+		"weights-4-2-1": weighted(), "high-at-0.8x": twoClasses(0.8), "high-at-3x": twoClasses(3),
 	} {
 		for _, o := range orders {
 			b.Run(name+"/"+o.name, func(b *testing.B) {
@@ -448,7 +453,8 @@
 	}
 }
 
-// TestShares: by weight among equals; a higher class first, but never all.
+// TestShares checks that customers share by weight, and that a higher class goes
+// first without starving the lower one.
 func TestShares(t *testing.T) {
 	s := base(Fair, weighted()).run()
 	one := float64(s.result["w1"].inTime)
@@ -457,10 +463,10 @@
 			t.Errorf("%s got %.2f times the share of weight 1", name, got)
 		}
 	}
-	if got := base(Fair, classed(0.8)).run().result["high"].success(); got < 0.99 {
+	if got := base(Fair, twoClasses(0.8)).run().result["high"].success(); got < 0.99 {
 		t.Errorf("the high class succeeded %.3f below its capacity", got)
 	}
-	if got := base(Fair, classed(3)).run().result["low"].inTime; got == 0 {
+	if got := base(Fair, twoClasses(3)).run().result["low"].inTime; got == 0 {
 		t.Error("the low class got nothing")
 	}
 }
--- a/internal/dispatch/turns_test.go
+++ b/internal/dispatch/turns_test.go
@@ -7,32 +7,33 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// deficit is deficit round robin over customers that always have items: the
-// order weighed against the one in use.
-type deficit struct {
+// deficitRoundRobin implements deficit round robin over customers that always
+// have items. It is the alternative that BenchmarkTurns compares with start-time
+// fair queueing.
+type deficitRoundRobin struct {
 	weights []int
-	at      int
+	current int
 	left    int
 }
 
-func (d *deficit) next() int {
+func (d *deficitRoundRobin) next() int {
 	if d.left == 0 {
-		d.at = (d.at + 1) % len(d.weights)
-		d.left = d.weights[d.at]
+		d.current = (d.current + 1) % len(d.weights)
+		d.left = d.weights[d.current]
 	}
 	d.left--
-	return d.at
+	return d.current
 }
 
-// startTime is the queue itself, kept full.
-type startTime struct {
+// startTimeFair drives a Queue in which every customer always has items.
+type startTimeFair struct {
 	queue   *Queue
 	weights []int
 	id      uint64
 }
 
-func newStartTime(weights []int) *startTime {
-	s := &startTime{queue: New(Options{Slots: 1, MaxQueue: 1 << 20}), weights: weights}
+func newStartTimeFair(weights []int) *startTimeFair {
+	s := &startTimeFair{queue: New(Options{Slots: 1, MaxQueue: 1 << 20}), weights: weights}
 	for i := range weights {
 		s.push(i)
 		s.push(i)
@@ -40,14 +41,14 @@
 	return s
 }
 
-func (s *startTime) push(i int) {
+func (s *startTimeFair) push(i int) {
 	s.id++
 	it := item(s.id, fmt.Sprintf("c%d", i), pb.Priority_LOW, 1<<30)
 	it.Weight = uint32(s.weights[i])
 	s.queue.Push(at(0), it)
 }
 
-func (s *startTime) next() int {
+func (s *startTimeFair) next() int {
 	it, _ := s.queue.Pop(at(0))
 	s.queue.Release()
 	i := int(it.Customer[1] - '0')
@@ -55,8 +56,8 @@
 	return i
 }
 
-// worstGap is the longest a customer waited between two turns, in turns, against
-// what its weight promises.
+// worstGap returns the longest wait of a customer between two turns, relative to
+// the wait that its weight promises.
 func worstGap(weights []int, next func() int) float64 {
 	total := 0
 	for _, w := range weights {
@@ -74,23 +75,23 @@
 	return worst
 }
 
-// BenchmarkTurns: the worst wait between two turns over the promised one.
+// BenchmarkTurns reports the worst wait between two turns over the promised one.
 func BenchmarkTurns(b *testing.B) {
 	for _, weights := range [][]int{{1, 1, 1, 1}, {4, 3, 2, 1}, {64, 16, 4, 1}} {
 		b.Run(fmt.Sprintf("deficit/%v", weights), func(b *testing.B) {
-			d := &deficit{weights: weights}
+			d := &deficitRoundRobin{weights: weights}
 			b.ReportMetric(worstGap(weights, d.next), "worst/promised")
 			b.ReportMetric(0, "ns/op")
 		})
 		b.Run(fmt.Sprintf("start-time/%v", weights), func(b *testing.B) {
-			s := newStartTime(weights)
+			s := newStartTimeFair(weights)
 			b.ReportMetric(worstGap(weights, s.next), "worst/promised")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
 }
 
-// BenchmarkQueue: one sub-request in and out, by how many wait.
+// BenchmarkQueue adds and removes one sub-request, by number of waiting items.
 func BenchmarkQueue(b *testing.B) {
 	for _, waiting := range []int{1, 256, 4096} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
@@ -113,7 +114,7 @@
 	}
 }
 
-// BenchmarkLedger: one id seen and closed.
+// BenchmarkLedger records and closes one id.
 func BenchmarkLedger(b *testing.B) {
 	l := NewLedger(DefaultLedger())
 	id := uint64(0)
