--- a/internal/readiness/readiness.go
+++ b/internal/readiness/readiness.go
@@ -1,10 +1,10 @@
-// Package readiness keeps what is known of one upstream's state and of the
-// snapshots it serves, and chooses the snapshot that a query is pinned to. It is
-// pure and decides nothing about load.
+// Package readiness tracks the state of one upstream and the snapshots it
+// serves, and chooses the snapshot that a query is pinned to. It is pure and
+// does not consider load.
 //
-// It learns from the statuses of owners and from replies. What is unknown counts
-// as ready, and what was learned expires: a belief that nothing renews must not
-// keep an upstream out of use.
+// Its inputs are the statuses sent by owners and the replies of upstreams. An
+// upstream of unknown state counts as ready, and all information expires, so
+// that outdated information does not keep an upstream out of use.
 package readiness
 
 import (
@@ -15,76 +15,77 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// How long what was learned holds.
+// Lifetimes of the recorded information.
 const (
-	// statusTTL is for an owner's status. Owners send changes only, so it is
-	// long, and replies that agree with it renew it: were it to lapse while a
-	// version takes long to spread, every query under way would restart.
+	// statusTTL applies to an owner's status. It is long because owners send
+	// changes only; replies that agree with the status renew it. If it expired
+	// while a new version spreads slowly, every running query would restart.
 	statusTTL = 2 * time.Minute
-	// snapshotTTL is for what a reply tells of one snapshot. It doubles, up to
-	// snapshotMost, each time the snapshot is still missing when it is asked for
-	// again.
-	snapshotTTL  = 5 * time.Second
-	snapshotMost = 20 * time.Second
-	// settled is the age from which a lesson gives way to a new status: the
-	// owner has weighed its own replies against the lagging health endpoint.
-	settled = time.Second
-	// leavingTTL is for a reply that announces leaving.
+	// snapshotTTL applies to what a reply shows about one snapshot. It doubles,
+	// up to snapshotMaxTTL, each time a request after expiry finds the snapshot
+	// still missing.
+	snapshotTTL    = 5 * time.Second
+	snapshotMaxTTL = 20 * time.Second
+	// statusOverrideAge is the age from which a new status replaces an
+	// observation: the owner has then compared its own replies with the lagging
+	// health endpoint.
+	statusOverrideAge = time.Second
+	// leavingTTL applies to a reply that announces that the upstream is leaving.
 	leavingTTL = 10 * time.Second
-	// downLeast and downMost bound how long a connection that could not be
-	// opened counts.
-	downLeast = 500 * time.Millisecond
-	downMost  = 5 * time.Second
+	// downMinTTL and downMaxTTL bound how long a failed connection attempt
+	// counts.
+	downMinTTL = 500 * time.Millisecond
+	downMaxTTL = 5 * time.Second
 )
 
-// maxLearned bounds the snapshots remembered from replies.
-const maxLearned = 8
+// maxObservations bounds the snapshots remembered from replies.
+const maxObservations = 8
 
-// Key names a snapshot; it is comparable.
+// Key identifies a snapshot. It is comparable.
 type Key struct {
 	Generation uint32
 	Version    uint64
 }
 
-// KeyOf is the key of a snapshot message.
+// KeyOf returns the key of a snapshot message.
 func KeyOf(s *pb.Snapshot) Key {
 	return Key{Generation: s.GetGeneration(), Version: s.GetVersion()}
 }
 
-// Fitness says whether an upstream should get a sub-request; higher is better.
+// Fitness ranks upstreams as candidates for a sub-request; higher is better.
 type Fitness int
 
 const (
-	// Unfit upstreams lack the snapshot or take no new work.
+	// Unfit upstreams lack the snapshot or accept no new work.
 	Unfit Fitness = iota
-	// Down upstreams could not be reached: the last resort.
+	// Down upstreams were unreachable. They are the last resort.
 	Down
-	// Cold upstreams serve, slowly.
+	// Cold upstreams serve, but slowly.
 	Cold
-	// Ready upstreams serve, as far as is known.
+	// Ready upstreams serve, or their state is unknown.
 	Ready
 )
 
-// State is what is known of one upstream. The zero value knows nothing. It is
-// not safe for concurrent use.
+// State is the known state of one upstream. The zero value holds no information.
+// It is not safe for concurrent use.
 type State struct {
-	state      pb.UpstreamState
-	stateUntil time.Time
-	listed     []Key
-	listUntil  time.Time
-	learned    []lesson
+	state        pb.UpstreamState
+	stateUntil   time.Time
+	listed       []Key
+	listUntil    time.Time
+	observations []observation
 }
 
-// lesson is what a reply told of one snapshot.
-type lesson struct {
+// observation is what a reply showed about one snapshot.
+type observation struct {
 	key   Key
 	has   bool
 	until time.Time
 	ttl   time.Duration
 }
 
-// Status takes an owner's status in. A status without snapshots says nothing of
-// them.
+// Status applies an owner's status. A status without snapshots carries no
+// information about them.
 func (s *State) Status(now time.Time, st *pb.UpstreamStatus) {
 	s.state = st.State
 	s.stateUntil = now.Add(statusTTL)
@@ -93,82 +94,85 @@
 		s.listed = append(s.listed, KeyOf(snap))
 	}
 	s.listUntil = now.Add(statusTTL)
-	s.learned = slices.DeleteFunc(s.learned, func(l lesson) bool {
-		return now.Sub(l.until.Add(-l.ttl)) >= settled
+	s.observations = slices.DeleteFunc(s.observations, func(o observation) bool {
+		return now.Sub(o.until.Add(-o.ttl)) >= statusOverrideAge
 	})
 }
 
-// Reply takes the end of a sub-request for a snapshot in; changed tells whether
-// the upstream's fitness may now be another.
+// Reply applies the outcome of a sub-request for the snapshot asked. changed
+// reports whether the upstream's fitness may have changed.
 func (s *State) Reply(now time.Time, asked Key, r *pb.SubReply) (changed bool) {
 	switch r.Result {
 	case pb.Result_OK:
-		return s.answered(now, KeyOf(r.Snapshot), asked)
+		return s.recordAnswer(now, KeyOf(r.Snapshot), asked)
 	case pb.Result_NO_SNAPSHOT:
-		s.renew(now, !slices.Contains(s.listed, asked))
-		return s.learn(now, asked, false)
+		s.renewList(now, !slices.Contains(s.listed, asked))
+		return s.recordSnapshot(now, asked, false)
 	case pb.Result_UPSTREAM_LEAVING:
 		s.state = pb.UpstreamState_DRAINING
 		s.stateUntil = now.Add(leavingTTL)
 		return true
 	case pb.Result_UNREACHABLE:
-		if s.current(now) == pb.UpstreamState_DRAINING {
+		if s.currentState(now) == pb.UpstreamState_DRAINING {
 			return false
 		}
 		wait := time.Duration(r.RetryAfterMs) * time.Millisecond
 		s.state = pb.UpstreamState_DOWN
-		s.stateUntil = now.Add(min(max(wait, downLeast), downMost))
+		s.stateUntil = now.Add(min(max(wait, downMinTTL), downMaxTTL))
 		return true
 	default:
 		return false
 	}
 }
 
-// answered is a good answer. An upstream that drains may still give some.
-func (s *State) answered(now time.Time, got, asked Key) bool {
+// recordAnswer applies a successful reply. It does not end draining, because a
+// draining upstream may still answer.
+func (s *State) recordAnswer(now time.Time, got, asked Key) bool {
 	if got != asked {
-		s.learn(now, got, true)
-		return s.learn(now, asked, false)
+		s.recordSnapshot(now, got, true)
+		return s.recordSnapshot(now, asked, false)
 	}
-	s.renew(now, slices.Contains(s.listed, asked))
+	s.renewList(now, slices.Contains(s.listed, asked))
 	changed := false
-	if s.current(now) == pb.UpstreamState_DOWN {
+	if s.currentState(now) == pb.UpstreamState_DOWN {
 		s.state = pb.UpstreamState_READY
 		changed = true
 	}
-	if !s.has(now, asked) {
-		changed = s.learn(now, asked, true) || changed
+	if !s.hasSnapshot(now, asked) {
+		changed = s.recordSnapshot(now, asked, true) || changed
 	}
 	return changed
 }
 
-// renew keeps the owner's list for longer when a reply agrees with it.
-func (s *State) renew(now time.Time, agrees bool) {
+// renewList extends the lifetime of the owner's list if a reply agrees with it.
+func (s *State) renewList(now time.Time, agrees bool) {
 	if agrees && len(s.listed) > 0 && now.Before(s.listUntil) {
 		s.listUntil = now.Add(statusTTL)
 	}
 }
 
-func (s *State) learn(now time.Time, key Key, has bool) bool {
-	before := s.has(now, key)
+// recordSnapshot records that the upstream has or lacks a snapshot, and reports
+// whether that is new information.
+func (s *State) recordSnapshot(now time.Time, key Key, has bool) bool {
+	before := s.hasSnapshot(now, key)
 	ttl := snapshotTTL
-	s.learned = slices.DeleteFunc(s.learned, func(l lesson) bool {
-		if l.key == key && !l.has && !has && !now.Before(l.until) {
-			ttl = min(2*l.ttl, snapshotMost)
+	s.observations = slices.DeleteFunc(s.observations, func(o observation) bool {
+		if o.key == key && !o.has && !has && !now.Before(o.until) {
+			ttl = min(2*o.ttl, snapshotMaxTTL)
 		}
-		return l.key == key || !now.Before(l.until.Add(snapshotMost))
+		return o.key == key || !now.Before(o.until.Add(snapshotMaxTTL))
 	})
-	if len(s.learned) >= maxLearned {
-		s.learned = slices.Delete(s.learned, 0, 1)
+	if len(s.observations) >= maxObservations {
+		s.observations = slices.Delete(s.observations, 0, 1)
 	}
-	s.learned = append(s.learned, lesson{key: key, has: has, until: now.Add(ttl), ttl: ttl})
+	s.observations = append(s.observations, observation{key: key, has: has, until: now.Add(ttl), ttl: ttl})
 	return before != has
 }
 
-// Fitness is how fit the upstream is to answer from a snapshot.
+// Fitness returns the upstream's fitness to answer from a snapshot.
 func (s *State) Fitness(now time.Time, key Key) Fitness {
-	state := s.current(now)
-	if state == pb.UpstreamState_DRAINING || !s.has(now, key) {
+	state := s.currentState(now)
+	if state == pb.UpstreamState_DRAINING || !s.hasSnapshot(now, key) {
 		return Unfit
 	}
 	switch state {
@@ -181,18 +185,18 @@
 	}
 }
 
-func (s *State) current(now time.Time) pb.UpstreamState {
+func (s *State) currentState(now time.Time) pb.UpstreamState {
 	if !now.Before(s.stateUntil) {
 		return pb.UpstreamState_UPSTREAM_STATE_UNSPECIFIED
 	}
 	return s.state
 }
 
-// has believes replies before the owner's list, which may lag.
-func (s *State) has(now time.Time, key Key) bool {
-	for i := range s.learned {
-		if l := &s.learned[i]; l.key == key && now.Before(l.until) {
-			return l.has
+// hasSnapshot prefers replies over the owner's list, which may lag.
+func (s *State) hasSnapshot(now time.Time, key Key) bool {
+	for i := range s.observations {
+		if o := &s.observations[i]; o.key == key && now.Before(o.until) {
+			return o.has
 		}
 	}
 	if len(s.listed) == 0 || !now.Before(s.listUntil) {
@@ -201,53 +205,55 @@
 	return slices.Contains(s.listed, key)
 }
 
-// Choice is a snapshot to pin.
+// Choice is the snapshot to pin a query to.
 type Choice struct {
 	Map      *contract.ShardMap
 	Snapshot *pb.Snapshot
-	// Whole says that every shard has a fit replica.
+	// Whole reports whether every shard has a fit replica.
 	Whole bool
 }
 
-// Choose is the newest published snapshot for which every shard has a replica
-// that serves; when there is none it is the one that covers most. ok is false
+// Choose returns the newest published snapshot for which every shard has a
+// replica that serves it, or else the one with the highest coverage. Replicas
+// that are down count only if no other replica serves any snapshot. ok is false
 // when no replica of any shard serves any snapshot.
 func Choose(s *contract.Service, fitness func(*contract.Upstream, Key) Fitness) (c Choice, ok bool) {
-	for _, least := range []Fitness{Cold, Down} {
-		if c, ok = choose(s, least, fitness); ok {
+	for _, minFitness := range []Fitness{Cold, Down} {
+		if c, ok = chooseAtLeast(s, minFitness, fitness); ok {
 			return c, true
 		}
 	}
 	return Choice{}, false
 }
 
-func choose(s *contract.Service, least Fitness, fitness func(*contract.Upstream, Key) Fitness) (best Choice, ok bool) {
-	most := 0.0
+// chooseAtLeast is Choose with replicas of at least minFitness.
+func chooseAtLeast(s *contract.Service, minFitness Fitness, fitness func(*contract.Upstream, Key) Fitness) (best Choice, ok bool) {
+	bestCoverage := 0.0
 	for i := len(s.Maps) - 1; i >= 0; i-- {
 		m := s.Maps[i]
 		for j := len(m.Versions) - 1; j >= 0; j-- {
 			key := Key{Generation: m.Generation, Version: m.Versions[j]}
-			share := covered(m, key, least, fitness)
-			if share <= most {
+			fraction := coverage(m, key, minFitness, fitness)
+			if fraction <= bestCoverage {
 				continue
 			}
-			most = share
-			best = Choice{Map: m, Snapshot: &pb.Snapshot{Generation: key.Generation, Version: key.Version}, Whole: share == 1}
+			bestCoverage = fraction
+			best = Choice{Map: m, Snapshot: &pb.Snapshot{Generation: key.Generation, Version: key.Version}, Whole: fraction == 1}
 			if best.Whole {
 				return best, true
 			}
 		}
 	}
-	return best, most > 0
+	return best, bestCoverage > 0
 }
 
-// covered is the share of the documents whose shard has a fit replica. The
-// share is of documents, 1 only when no shard is missing, and more than 0 as
-// soon as one is there, so that a map without documents can be pinned.
-func covered(m *contract.ShardMap, key Key, least Fitness, fitness func(*contract.Upstream, Key) Fitness) float64 {
+// coverage returns the fraction of the documents whose shard has a fit replica.
+// It is 1 only if no shard is missing, and above 0 if any shard is present, so
+// that a map without documents can be pinned.
+func coverage(m *contract.ShardMap, key Key, minFitness Fitness, fitness func(*contract.Upstream, Key) Fitness) float64 {
 	shards, documents := 0, uint64(0)
 	for _, sh := range m.Shards {
-		if served(sh, key, least, fitness) {
+		if hasFitReplica(sh, key, minFitness, fitness) {
 			shards++
 			documents += sh.Documents
 		}
@@ -258,19 +264,21 @@
 	case shards == len(m.Shards):
 		return 1
 	default:
-		return max(smallest, largest*float64(documents)/float64(max(1, m.Documents)))
+		return max(minPartialCoverage, maxPartialCoverage*float64(documents)/float64(max(1, m.Documents)))
 	}
 }
 
-// Shares of an incomplete map.
+// Bounds of the coverage of an incomplete map.
 const (
-	smallest = 1e-9
-	largest  = 1 - smallest
+	minPartialCoverage = 1e-9
+	maxPartialCoverage = 1 - minPartialCoverage
 )
 
-func served(sh *contract.Shard, key Key, least Fitness, fitness func(*contract.Upstream, Key) Fitness) bool {
+// hasFitReplica reports whether any replica that is not leaving has at least
+// minFitness.
+func hasFitReplica(sh *contract.Shard, key Key, minFitness Fitness, fitness func(*contract.Upstream, Key) Fitness) bool {
 	for _, u := range sh.Replicas {
-		if !u.Leaving && fitness(u, key) >= least {
+		if !u.Leaving && fitness(u, key) >= minFitness {
 			return true
 		}
 	}
--- a/internal/readiness/readiness_test.go
+++ b/internal/readiness/readiness_test.go
@@ -42,23 +42,23 @@
 		{name: "unknown", want: Ready},
 		{name: "ready with the snapshot", events: []func(*State, time.Time){status(pb.UpstreamState_READY, v7, v8)}, want: Ready},
 		{name: "ready without it", events: []func(*State, time.Time){status(pb.UpstreamState_READY, v7)}, want: Unfit},
-		{name: "ready, list not stated", events: []func(*State, time.Time){status(pb.UpstreamState_READY)}, want: Ready},
+		{name: "ready, no list", events: []func(*State, time.Time){status(pb.UpstreamState_READY)}, want: Ready},
 		{name: "cold", events: []func(*State, time.Time){status(pb.UpstreamState_COLD, v8)}, want: Cold},
 		{name: "draining", events: []func(*State, time.Time){status(pb.UpstreamState_DRAINING, v8)}, want: Unfit},
-		{name: "draining and answering", events: []func(*State, time.Time){status(pb.UpstreamState_DRAINING), reply(v8, pb.Result_OK, v8)}, want: Unfit},
+		{name: "draining, then answers", events: []func(*State, time.Time){status(pb.UpstreamState_DRAINING), reply(v8, pb.Result_OK, v8)}, want: Unfit},
 		{name: "down", events: []func(*State, time.Time){status(pb.UpstreamState_DOWN)}, want: Down},
-		{name: "down and answering", events: []func(*State, time.Time){status(pb.UpstreamState_DOWN), reply(v8, pb.Result_OK, v8)}, want: Ready},
+		{name: "down, then answers", events: []func(*State, time.Time){status(pb.UpstreamState_DOWN), reply(v8, pb.Result_OK, v8)}, want: Ready},
 		{name: "a status expires", events: []func(*State, time.Time){status(pb.UpstreamState_DRAINING)}, after: statusTTL, want: Ready},
 		{name: "refused for the snapshot", events: []func(*State, time.Time){reply(v8, pb.Result_NO_SNAPSHOT, Key{})}, want: Unfit},
 		{name: "refused for another snapshot", events: []func(*State, time.Time){reply(v7, pb.Result_NO_SNAPSHOT, Key{})}, want: Ready},
 		{name: "a refusal expires", events: []func(*State, time.Time){reply(v8, pb.Result_NO_SNAPSHOT, Key{})}, after: snapshotTTL, want: Ready},
-		{name: "a refusal outranks the lagging list", events: []func(*State, time.Time){reply(v8, pb.Result_NO_SNAPSHOT, Key{}), status(pb.UpstreamState_READY, v8)}, want: Unfit},
-		{name: "an answer outranks the lagging list", events: []func(*State, time.Time){status(pb.UpstreamState_READY, v7), reply(v8, pb.Result_OK, v8)}, want: Ready},
+		{name: "a refusal overrides the lagging list", events: []func(*State, time.Time){reply(v8, pb.Result_NO_SNAPSHOT, Key{}), status(pb.UpstreamState_READY, v8)}, want: Unfit},
+		{name: "an answer overrides the lagging list", events: []func(*State, time.Time){status(pb.UpstreamState_READY, v7), reply(v8, pb.Result_OK, v8)}, want: Ready},
 		{name: "answered from another one", events: []func(*State, time.Time){reply(v8, pb.Result_OK, v7)}, want: Unfit},
-		{name: "said that it leaves", events: []func(*State, time.Time){reply(v8, pb.Result_UPSTREAM_LEAVING, Key{})}, want: Unfit},
+		{name: "announced that it is leaving", events: []func(*State, time.Time){reply(v8, pb.Result_UPSTREAM_LEAVING, Key{})}, want: Unfit},
 		{name: "unreachable", events: []func(*State, time.Time){reply(v8, pb.Result_UNREACHABLE, Key{})}, want: Down},
-		{name: "leaving is not undone by a lost connection", events: []func(*State, time.Time){reply(v8, pb.Result_UPSTREAM_LEAVING, Key{}), reply(v8, pb.Result_UNREACHABLE, Key{})}, after: time.Second, want: Unfit},
-		{name: "shed says nothing", events: []func(*State, time.Time){reply(v8, pb.Result_SHED, Key{})}, want: Ready},
+		{name: "a lost connection does not end leaving", events: []func(*State, time.Time){reply(v8, pb.Result_UPSTREAM_LEAVING, Key{}), reply(v8, pb.Result_UNREACHABLE, Key{})}, after: time.Second, want: Unfit},
+		{name: "a shed changes nothing", events: []func(*State, time.Time){reply(v8, pb.Result_SHED, Key{})}, want: Ready},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var s State
@@ -72,12 +72,11 @@
 	}
 }
 
-// Symptom: while a version takes minutes to spread every query restarts again and
-// again.
-// Sequence: the owner's list is minutes old, or there is none, and the upstream
-// goes on refusing the new version.
-// Cause: what was known lapsed although every reply confirmed it.
-func TestConfirmedBeliefsLast(t *testing.T) {
+// An upstream that keeps refusing a new version is not asked for it again and
+// again, whether the owner's list is minutes old or missing. If the information
+// expired although replies confirm it, every query would restart repeatedly
+// while a version takes minutes to spread.
+func TestConfirmedInformationLasts(t *testing.T) {
 	refusals := func(s *State, every, during time.Duration) int {
 		n := 0
 		for at := every; at <= during; at += every {
@@ -91,41 +90,40 @@
 		}
 		return n
 	}
-	var told State
-	told.Status(start, &pb.UpstreamStatus{State: pb.UpstreamState_READY, Snapshots: []*pb.Snapshot{snapshot(v7)}})
-	if n := refusals(&told, time.Second, 10*time.Minute); n != 0 {
+	var withList State
+	withList.Status(start, &pb.UpstreamStatus{State: pb.UpstreamState_READY, Snapshots: []*pb.Snapshot{snapshot(v7)}})
+	if n := refusals(&withList, time.Second, 10*time.Minute); n != 0 {
 		t.Errorf("an upstream whose list is confirmed was asked %d times for what it lacks", n)
 	}
-	var untold State
-	if n := refusals(&untold, time.Second, 10*time.Minute); n > 35 {
+	var withoutList State
+	if n := refusals(&withoutList, time.Second, 10*time.Minute); n > 35 {
 		t.Errorf("an upstream without a list was asked %d times in ten minutes", n)
 	}
 }
 
-func TestNewStatusOutranksOldRefusal(t *testing.T) {
+func TestNewStatusOverridesOldRefusal(t *testing.T) {
 	var s State
 	s.Reply(start, v8, &pb.SubReply{Result: pb.Result_NO_SNAPSHOT})
-	later := start.Add(settled)
+	later := start.Add(statusOverrideAge)
 	s.Status(later, &pb.UpstreamStatus{State: pb.UpstreamState_READY, Snapshots: []*pb.Snapshot{snapshot(v7), snapshot(v8)}})
 	if f := s.Fitness(later, v8); f != Ready {
 		t.Errorf("fitness %d after the owner said that the snapshot was loaded", f)
 	}
 }
 
-func TestLessonsAreBounded(t *testing.T) {
+func TestObservationsAreBounded(t *testing.T) {
 	var s State
 	for v := range uint64(100) {
 		s.Reply(start, Key{Version: v}, &pb.SubReply{Result: pb.Result_NO_SNAPSHOT})
 	}
-	if len(s.learned) > maxLearned {
-		t.Errorf("%d lessons are kept", len(s.learned))
+	if len(s.observations) > maxObservations {
+		t.Errorf("%d observations are kept", len(s.observations))
 	}
 }
 
-// Symptom: after a version is published queries lose shards until every
-// upstream has loaded it.
-// Sequence: version 8 or map 2 is published; some replicas still lack it.
-// Cause: the newest published snapshot was pinned whoever served it.
+// Queries stay on the previous snapshot until every shard has a replica that
+// serves the newly published version 8 or map 2. Pinning the newest snapshot at
+// once would lose the shards whose replicas have not loaded it.
 func TestChoose(t *testing.T) {
 	u := func(id string) *contract.Upstream { return &contract.Upstream{ID: id} }
 	a, b, c := u("a"), u("b"), u("c")
@@ -150,16 +148,16 @@
 		whole bool
 		none  bool
 	}{
-		{name: "nothing known: the newest", maps: []*contract.ShardMap{one}, want: v8, whole: true},
+		{name: "no information: the newest", maps: []*contract.ShardMap{one}, want: v8, whole: true},
 		{name: "one replica is enough", maps: []*contract.ShardMap{one}, lacks: map[lack]Fitness{{"a", v8}: Unfit, {"c", v8}: Unfit}, want: v8, whole: true},
 		{name: "a shard lacks the newest", maps: []*contract.ShardMap{one}, lacks: map[lack]Fitness{{"a", v8}: Unfit, {"b", v8}: Unfit}, want: v7, whole: true},
 		{name: "the new map is not ready", maps: []*contract.ShardMap{one, two}, lacks: map[lack]Fitness{{"c", g2}: Unfit}, want: v8, whole: true},
 		{name: "the new map is ready", maps: []*contract.ShardMap{one, two}, want: g2, whole: true},
 		{name: "cold serves", maps: []*contract.ShardMap{two}, lacks: map[lack]Fitness{{"c", g2}: Cold}, want: g2, whole: true},
-		{name: "a shard is lost in all: what covers most", maps: []*contract.ShardMap{one},
+		{name: "every snapshot lacks a shard: the highest coverage", maps: []*contract.ShardMap{one},
 			lacks: map[lack]Fitness{{"a", v8}: Unfit, {"b", v8}: Unfit, {"b", v7}: Unfit, {"c", v7}: Unfit}, want: v7},
 		{name: "everything down: the newest is tried", maps: []*contract.ShardMap{two}, lacks: map[lack]Fitness{{"c", g2}: Down}, want: g2, whole: true},
-		{name: "nobody serves", maps: []*contract.ShardMap{two}, lacks: map[lack]Fitness{{"c", g2}: Unfit}, none: true},
+		{name: "no replica serves", maps: []*contract.ShardMap{two}, lacks: map[lack]Fitness{{"c", g2}: Unfit}, none: true},
 		{name: "no map", none: true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
