--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -1,10 +1,10 @@
-// Package health decides what an owner believes of one upstream: ready, cold,
-// draining or down, which snapshots it serves, when to probe it next, and
-// whether work may go to it. It is a pure state machine.
+// Package health tracks the state of one upstream for its owner: ready, cold,
+// draining or down, the snapshots it serves, when to probe it next, and whether
+// it may get work. It is a pure state machine.
 //
-// The upstream's own health endpoint lags and may mislead, so what its replies
-// to requests say outranks it: a refusal for want of a slot, an announcement of
-// draining, a connection that could not be opened, a good answer.
+// The upstream's health endpoint lags and may be wrong, so the outcomes of
+// requests override it: a refusal because no slot was free, an announcement of
+// draining, a failed connection attempt, a successful answer.
 package health
 
 import (
@@ -15,134 +15,137 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// Options are the timings of a monitor.
+// Options are the timings of a Monitor.
 type Options struct {
-	// Interval between probes; each is jittered by a quarter either way.
+	// Interval is the time between probes, with a jitter of a quarter either
+	// way.
 	Interval time.Duration
-	// Lag is how far the health endpoint may be behind the replies.
+	// Lag is how far the health endpoint may lag behind the replies.
 	Lag time.Duration
-	// BackoffFirst and BackoffMost bound the time an upstream that could not
-	// be reached is left alone; it doubles with each failed trial.
-	BackoffFirst time.Duration
-	BackoffMost  time.Duration
-	// ProbeFailures in a row make an upstream down that answered no request
-	// meanwhile.
+	// BackoffMin and BackoffMax bound the time during which an unreachable
+	// upstream gets no requests. It doubles with each failed trial.
+	BackoffMin time.Duration
+	BackoffMax time.Duration
+	// ProbeFailures is the number of consecutive failed probes after which an
+	// upstream is down, unless it answered a request meanwhile.
 	ProbeFailures int
 }
 
-// DefaultOptions are the timings of a daemon.
+// DefaultOptions returns the timings that the daemon uses.
 func DefaultOptions() Options {
 	return Options{
 		Interval:      time.Second,
 		Lag:           3 * time.Second,
-		BackoffFirst:  100 * time.Millisecond,
-		BackoffMost:   5 * time.Second,
+		BackoffMin:    100 * time.Millisecond,
+		BackoffMax:    5 * time.Second,
 		ProbeFailures: 2,
 	}
 }
 
-// Gate says what may be done with new work.
+// Gate says whether new requests may be sent to the upstream.
 type Gate int
 
 const (
-	// Open: it may be sent.
+	// Open: requests may be sent.
 	Open Gate = iota
-	// Trial: one request may be sent; its outcome decides.
+	// Trial: one request may be sent; its outcome closes or reopens the circuit.
 	Trial
-	// Unreachable: the upstream could not be reached a moment ago.
+	// Unreachable: recent connection attempts failed, or a trial is in flight.
 	Unreachable
-	// Leaving: it has announced that it drains, or the operators take it out.
+	// Leaving: the upstream announced that it drains, or the operators remove
+	// it.
 	Leaving
 )
 
-// Report is one answer of the health endpoint.
+// Report is an answer of the health endpoint.
 type Report struct {
 	State     pb.UpstreamState
 	Snapshots []*pb.Snapshot
 }
 
-// Reply is what one request has shown of the upstream.
+// Reply is the outcome of one request.
 type Reply struct {
 	Result pb.Result
-	// Draining says that the reply announced draining.
+	// Draining is set when the reply announced draining.
 	Draining bool
-	// Snapshot is the one that was asked for.
+	// Snapshot is the requested snapshot.
 	Snapshot *pb.Snapshot
 }
 
-// Monitor is what is believed of one upstream. It is not safe for concurrent
-// use.
+// Monitor tracks the state of one upstream. It is not safe for concurrent use.
 type Monitor struct {
 	opts Options
 	rng  *rand.Rand
 
-	announced pb.UpstreamState
-	snapshots []*pb.Snapshot
-	leaving   bool
-	// drainedAt is when a reply last announced draining; zero when it does
-	// not drain.
-	drainedAt time.Time
-	// answeredAt is when a reply last came to a request.
-	answeredAt time.Time
+	// reportedState is the last state from a health report or a request.
+	reportedState pb.UpstreamState
+	snapshots     []*pb.Snapshot
+	leaving       bool
+	// drainAnnouncedAt is the time of the last reply that announced draining;
+	// zero when the upstream does not drain.
+	drainAnnouncedAt time.Time
+	// lastReplyAt is the time of the last reply to a request.
+	lastReplyAt time.Time
 
 	probeFailures int
-	nextProbe     time.Time
-	probing       bool
-
-	// broken is set while the circuit is open: until retryAt nothing is sent,
-	// then one trial.
-	broken  bool
-	trial   bool
-	backoff time.Duration
-	retryAt time.Time
+	nextProbeAt   time.Time
+	probeInFlight bool
+
+	// circuitOpen is set after a failure. No request is sent until retryAt, then
+	// one trial.
+	circuitOpen   bool
+	trialInFlight bool
+	backoff       time.Duration
+	retryAt       time.Time
 }
 
-// New makes a monitor that believes nothing yet and is due for a probe. The seed
-// spreads the probes of many upstreams.
+// New returns a monitor of unknown state that is due for a probe. The seed
+// determines the jitter, so that probes of many upstreams spread out.
 func New(opts Options, seed uint64) *Monitor {
 	return &Monitor{opts: opts, rng: rand.New(rand.NewPCG(seed, 0))}
 }
 
-// SetLeaving takes in what the operators say of the upstream.
+// SetLeaving sets whether the operators are removing the upstream.
 func (m *Monitor) SetLeaving(leaving bool) {
 	m.leaving = leaving
 }
 
-// Gate says whether new work may go to the upstream.
+// Gate returns whether new requests may be sent.
 func (m *Monitor) Gate(now time.Time) Gate {
 	switch {
 	case m.draining():
 		return Leaving
-	case !m.broken:
+	case !m.circuitOpen:
 		return Open
-	case m.trial || now.Before(m.retryAt):
+	case m.trialInFlight || now.Before(m.retryAt):
 		return Unreachable
 	default:
 		return Trial
 	}
 }
 
-// Started notes that a request is sent.
+// Started records that a request is being sent.
 func (m *Monitor) Started() {
-	m.trial = m.broken
+	m.trialInFlight = m.circuitOpen
 }
 
-// Unsent notes that a trial was not sent after all.
+// Unsent records that a trial was not sent after all.
 func (m *Monitor) Unsent() {
-	m.trial = false
+	m.trialInFlight = false
 }
 
-// Observe takes in the outcome of a request.
+// Observe applies the outcome of a request.
 func (m *Monitor) Observe(now time.Time, r Reply) {
-	m.trial = false
+	m.trialInFlight = false
 	if r.Draining || r.Result == pb.Result_UPSTREAM_LEAVING {
-		m.drainedAt = now
+		m.drainAnnouncedAt = now
 	}
 	switch r.Result {
 	case pb.Result_UNREACHABLE:
-		m.fail(now)
+		m.openCircuit(now)
 		return
 	case pb.Result_UNKNOWN:
+		// An unknown outcome does not show whether the upstream works.
 		// It says neither that the upstream works nor that it does not.
 		return
 	case pb.Result_OK:
@@ -150,141 +153,143 @@
 	case pb.Result_NO_SNAPSHOT:
 		m.dropSnapshot(r.Snapshot)
 	}
-	m.answeredAt = now
-	m.mend()
+	m.lastReplyAt = now
+	m.closeCircuit()
 }
 
-// fail opens the circuit, for twice as long as before. Several requests that
-// fail together count once.
-func (m *Monitor) fail(now time.Time) {
-	if m.broken && now.Before(m.retryAt) {
+// openCircuit opens the circuit for twice as long as before. Failures while it
+// is open count once.
+func (m *Monitor) openCircuit(now time.Time) {
+	if m.circuitOpen && now.Before(m.retryAt) {
 		return
 	}
-	m.backoff = min(m.opts.BackoffMost, max(m.opts.BackoffFirst, 2*m.backoff))
-	m.broken = true
+	m.backoff = min(m.opts.BackoffMax, max(m.opts.BackoffMin, 2*m.backoff))
+	m.circuitOpen = true
 	m.retryAt = now.Add(m.jitter(m.backoff))
-	m.announced = pb.UpstreamState_DOWN
+	m.reportedState = pb.UpstreamState_DOWN
 }
 
-// mend closes the circuit.
-func (m *Monitor) mend() {
-	m.broken = false
+// closeCircuit closes the circuit after a reply.
+func (m *Monitor) closeCircuit() {
+	m.circuitOpen = false
 	m.backoff = 0
 	m.probeFailures = 0
-	if m.announced == pb.UpstreamState_DOWN || m.announced == pb.UpstreamState_UPSTREAM_STATE_UNSPECIFIED {
-		m.announced = pb.UpstreamState_READY
+	if m.reportedState == pb.UpstreamState_DOWN || m.reportedState == pb.UpstreamState_UPSTREAM_STATE_UNSPECIFIED {
+		m.reportedState = pb.UpstreamState_READY
 	}
 }
 
-// ProbeDue tells whether the upstream should be probed now; it is then taken to
-// be under way until Probed.
+// ProbeDue reports whether to send a probe now. If so, the probe counts as in
+// flight until Probed or ProbeSkipped is called.
 func (m *Monitor) ProbeDue(now time.Time) bool {
-	if m.probing || now.Before(m.nextProbe) {
+	if m.probeInFlight || now.Before(m.nextProbeAt) {
 		return false
 	}
-	m.probing = true
+	m.probeInFlight = true
 	return true
 }
 
-// ProbeSkipped notes that a due probe could not be sent now.
+// ProbeSkipped records that a due probe could not be sent.
 func (m *Monitor) ProbeSkipped() {
-	m.probing = false
+	m.probeInFlight = false
 }
 
-// RetryIn is how long an upstream that could not be reached is left alone.
+// RetryIn returns the time until the next trial; 0 when it is due.
 func (m *Monitor) RetryIn(now time.Time) time.Duration {
 	return max(0, m.retryAt.Sub(now))
 }
 
-// Probed takes in the answer to a probe that was sent at sent; nil when there
-// was none.
+// Probed applies the answer to a probe sent at sent; r is nil when there was
+// none.
 func (m *Monitor) Probed(now, sent time.Time, r *Report) {
-	m.probing = false
-	m.nextProbe = now.Add(m.jitter(m.opts.Interval))
+	m.probeInFlight = false
+	m.nextProbeAt = now.Add(m.jitter(m.opts.Interval))
 	if r == nil {
 		m.probeFailed(now, sent)
 		return
 	}
 	m.probeFailures = 0
-	m.believe(sent, r)
+	m.applyReport(sent, r)
 }
 
-// probeFailed believes in a failure only when no request was answered since the
-// probe was sent: a health endpoint may hang while the service works.
+// probeFailed counts a failed probe unless a request was answered since it was
+// sent: a health endpoint may hang while the service works.
 func (m *Monitor) probeFailed(now, sent time.Time) {
-	if m.answeredAt.After(sent) {
+	if m.lastReplyAt.After(sent) {
 		m.probeFailures = 0
 		return
 	}
 	m.probeFailures++
 	if m.probeFailures >= m.opts.ProbeFailures {
-		m.fail(now)
+		m.openCircuit(now)
 	}
 }
 
-// believe takes a report on trust, except against replies that are newer than
-// the report may lag.
-func (m *Monitor) believe(sent time.Time, r *Report) {
+// applyReport applies a report of the health endpoint. If the circuit is open,
+// the report permits a trial at once. A drain announcement in a reply overrides
+// reports of other states from probes that were sent less than Lag after it.
+func (m *Monitor) applyReport(sent time.Time, r *Report) {
 	m.snapshots = r.Snapshots
-	if m.broken {
-		m.trial = false
+	if m.circuitOpen {
+		m.trialInFlight = false
 		m.retryAt = sent
 	}
 	if r.State == pb.UpstreamState_DRAINING {
-		m.announced = r.State
+		m.reportedState = r.State
 		return
 	}
-	if !m.drainedAt.IsZero() && sent.Before(m.drainedAt.Add(m.opts.Lag)) {
+	if !m.drainAnnouncedAt.IsZero() && sent.Before(m.drainAnnouncedAt.Add(m.opts.Lag)) {
 		return
 	}
-	m.drainedAt = time.Time{}
-	m.announced = r.State
+	m.drainAnnouncedAt = time.Time{}
+	m.reportedState = r.State
 }
 
 func (m *Monitor) draining() bool {
-	return m.leaving || !m.drainedAt.IsZero() || m.announced == pb.UpstreamState_DRAINING
+	return m.leaving || !m.drainAnnouncedAt.IsZero() || m.reportedState == pb.UpstreamState_DRAINING
 }
 
-// State is what is believed.
+// State returns the tracked state.
 func (m *Monitor) State() pb.UpstreamState {
 	switch {
 	case m.draining():
 		return pb.UpstreamState_DRAINING
-	case m.broken:
+	case m.circuitOpen:
 		return pb.UpstreamState_DOWN
 	default:
-		return m.announced
+		return m.reportedState
 	}
 }
 
-// Snapshots is what the upstream is believed to serve; it must not be changed.
+// Snapshots returns the snapshots that the upstream is known to serve. Callers
+// must not modify the slice.
 func (m *Monitor) Snapshots() []*pb.Snapshot {
 	return m.snapshots
 }
 
 func (m *Monitor) addSnapshot(s *pb.Snapshot) {
-	if s == nil || m.has(s) {
+	if s == nil || m.hasSnapshot(s) {
 		return
 	}
 	m.snapshots = append(slices.Clone(m.snapshots), s)
 }
 
 func (m *Monitor) dropSnapshot(s *pb.Snapshot) {
-	if s == nil || !m.has(s) {
+	if s == nil || !m.hasSnapshot(s) {
 		return
 	}
-	m.snapshots = slices.DeleteFunc(slices.Clone(m.snapshots), func(o *pb.Snapshot) bool { return same(o, s) })
+	m.snapshots = slices.DeleteFunc(slices.Clone(m.snapshots), func(o *pb.Snapshot) bool { return sameSnapshot(o, s) })
 }
 
-func (m *Monitor) has(s *pb.Snapshot) bool {
-	return slices.ContainsFunc(m.snapshots, func(o *pb.Snapshot) bool { return same(o, s) })
+func (m *Monitor) hasSnapshot(s *pb.Snapshot) bool {
+	return slices.ContainsFunc(m.snapshots, func(o *pb.Snapshot) bool { return sameSnapshot(o, s) })
 }
 
-func same(a, b *pb.Snapshot) bool {
+func sameSnapshot(a, b *pb.Snapshot) bool {
 	return a.GetGeneration() == b.GetGeneration() && a.GetVersion() == b.GetVersion()
 }
 
-// jitter spreads d by a quarter either way.
+// jitter varies d by a quarter either way.
 func (m *Monitor) jitter(d time.Duration) time.Duration {
 	return d*3/4 + time.Duration(m.rng.Int64N(int64(d)/2+1))
 }
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -17,13 +17,13 @@
 	return New(Options{
 		Interval:      time.Second,
 		Lag:           3 * time.Second,
-		BackoffFirst:  100 * time.Millisecond,
-		BackoffMost:   time.Second,
+		BackoffMin:    100 * time.Millisecond,
+		BackoffMax:    time.Second,
 		ProbeFailures: 2,
 	}, 1)
 }
 
-// event is one thing that happens to a monitor.
+// event is an input to a monitor.
 type event func(m *Monitor)
 
 func reply(ms int, r pb.Result) event {
@@ -44,7 +44,7 @@
 
 func started(m *Monitor) { m.Started() }
 
-func TestBelief(t *testing.T) {
+func TestStateAndGate(t *testing.T) {
 	const (
 		ready    = pb.UpstreamState_READY
 		cold     = pb.UpstreamState_COLD
@@ -57,33 +57,33 @@
 		state  pb.UpstreamState
 		gate   Gate
 	}{
-		"nothing known":                      {nil, 0, pb.UpstreamState_UPSTREAM_STATE_UNSPECIFIED, Open},
-		"health says ready":                  {[]event{probe(0, ready)}, 0, ready, Open},
-		"a good answer alone makes it ready": {[]event{reply(0, pb.Result_OK)}, 0, ready, Open},
-		"health says cold":                   {[]event{probe(0, cold)}, 0, cold, Open},
-		"health says draining":               {[]event{probe(0, draining)}, 0, draining, Leaving},
-		"a reply says draining":              {[]event{probe(0, ready), drainHeader(1)}, 1, draining, Leaving},
-		"a refusal says draining":            {[]event{reply(0, pb.Result_UPSTREAM_LEAVING)}, 0, draining, Leaving},
-		"lagging health does not outrank the reply": {
+		"no information":                           {nil, 0, pb.UpstreamState_UPSTREAM_STATE_UNSPECIFIED, Open},
+		"health says ready":                        {[]event{probe(0, ready)}, 0, ready, Open},
+		"a successful answer alone makes it ready": {[]event{reply(0, pb.Result_OK)}, 0, ready, Open},
+		"health says cold":                         {[]event{probe(0, cold)}, 0, cold, Open},
+		"health says draining":                     {[]event{probe(0, draining)}, 0, draining, Leaving},
+		"a reply says draining":                    {[]event{probe(0, ready), drainHeader(1)}, 1, draining, Leaving},
+		"a refusal says draining":                  {[]event{reply(0, pb.Result_UPSTREAM_LEAVING)}, 0, draining, Leaving},
+		"lagging health does not override the reply": {
 			[]event{drainHeader(0), probe(2999, ready)}, 2999, draining, Leaving},
-		"health newer than its lag does": {
+		"health newer than the lag overrides the reply": {
 			[]event{drainHeader(0), probe(3000, ready)}, 3000, ready, Open},
-		"a later good answer of work under way does not end draining": {
+		"a later successful answer does not end draining": {
 			[]event{drainHeader(0), reply(10, pb.Result_OK)}, 10, draining, Leaving},
-		"the operators take it out": {
+		"the operators remove it": {
 			[]event{probe(0, ready), func(m *Monitor) { m.SetLeaving(true) }}, 0, draining, Leaving},
 		"one probe without answer": {[]event{probe(0, ready), noAnswer(1000)}, 1000, ready, Open},
 		"two probes without answer": {
 			[]event{probe(0, ready), noAnswer(1000), noAnswer(2000)}, 2000, down, Unreachable},
 		"health hangs while requests are answered": {
 			[]event{probe(0, ready), noAnswer(1000), reply(2500, pb.Result_OK), noAnswer(2000), noAnswer(3000)}, 3000, ready, Open},
-		"no connection":          {[]event{probe(0, ready), reply(0, pb.Result_UNREACHABLE)}, 0, down, Unreachable},
-		"a trial after a while":  {[]event{reply(0, pb.Result_UNREACHABLE)}, 126, down, Trial},
-		"one trial at a time":    {[]event{reply(0, pb.Result_UNREACHABLE), started}, 126, down, Unreachable},
-		"the trial fails":        {[]event{reply(0, pb.Result_UNREACHABLE), started, reply(126, pb.Result_UNREACHABLE)}, 275, down, Unreachable},
-		"the trial succeeds":     {[]event{reply(0, pb.Result_UNREACHABLE), started, reply(126, pb.Result_OK)}, 126, ready, Open},
-		"a probe allows a trial": {[]event{reply(0, pb.Result_UNREACHABLE), probe(10, ready)}, 10, down, Trial},
-		"failures together count once": {
+		"no connection":             {[]event{probe(0, ready), reply(0, pb.Result_UNREACHABLE)}, 0, down, Unreachable},
+		"a trial after the backoff": {[]event{reply(0, pb.Result_UNREACHABLE)}, 126, down, Trial},
+		"one trial at a time":       {[]event{reply(0, pb.Result_UNREACHABLE), started}, 126, down, Unreachable},
+		"the trial fails":           {[]event{reply(0, pb.Result_UNREACHABLE), started, reply(126, pb.Result_UNREACHABLE)}, 275, down, Unreachable},
+		"the trial succeeds":        {[]event{reply(0, pb.Result_UNREACHABLE), started, reply(126, pb.Result_OK)}, 126, ready, Open},
+		"a probe allows a trial":    {[]event{reply(0, pb.Result_UNREACHABLE), probe(10, ready)}, 10, down, Trial},
+		"concurrent failures count once": {
 			[]event{reply(0, pb.Result_UNREACHABLE), reply(1, pb.Result_UNREACHABLE), reply(2, pb.Result_UNREACHABLE)}, 127, down, Trial},
 		"an unknown outcome changes nothing": {[]event{probe(0, ready), reply(0, pb.Result_UNKNOWN)}, 0, ready, Open},
 	} {
@@ -99,10 +99,9 @@
 	}
 }
 
-// Symptom: queries pin a version that an upstream has dropped, or wait for one
-// that it has had for a while.
-// Sequence: health lags behind what replies show.
-// Cause: only the health endpoint was believed.
+// Replies update the snapshots although the health endpoint lags. Otherwise
+// queries pin a version that the upstream has dropped, or wait for one that it
+// has loaded.
 func TestSnapshotsFromReplies(t *testing.T) {
 	g := NewWithT(t)
 	v := func(n uint64) *pb.Snapshot { return &pb.Snapshot{Generation: 1, Version: n} }
@@ -114,11 +113,11 @@
 	g.Expect(m.Snapshots()[0].Version).To(Equal(uint64(2)))
 }
 
-func TestProbesAreSpread(t *testing.T) {
+func TestProbeJitter(t *testing.T) {
 	g := NewWithT(t)
 	m := monitor()
 	g.Expect(m.ProbeDue(at(0))).To(BeTrue())
-	g.Expect(m.ProbeDue(at(1))).To(BeFalse(), "one at a time")
+	g.Expect(m.ProbeDue(at(1))).To(BeFalse(), "one probe at a time")
 	m.Probed(at(2), at(0), nil)
 	g.Expect(m.ProbeDue(at(2 + 749))).To(BeFalse())
 	g.Expect(m.ProbeDue(at(2 + 1251))).To(BeTrue())
