--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -337,8 +337,8 @@
 	return cu
 }
 
-// minIdleCustomers is how many further customers may be added before idle ones
-// are removed. Idle customers are kept because their flows record the turns that
+// minIdleCustomers is the least number of new customers between two removals of
+// idle ones. Idle customers are kept because their flows record the turns that
 // they took ahead of their share.
 const minIdleCustomers = 64
 
