--- a/internal/share/borrow.go
+++ b/internal/share/borrow.go
@@ -14,27 +14,28 @@
 	sequence    uint64
 	amount      Amount
 	until       time.Time
-	// confirmed is the sequence that the lender may be told: no request still
-	// runs on a larger loan before it.
+	// confirmed is the sequence that may be acknowledged to the lender: no
+	// running request depends on an earlier, larger loan.
 	confirmed uint64
-	// lowered is set until the lender was told that a smaller loan is in use.
-	lowered bool
+	// unconfirmedReduction is set until the use of a smaller loan has been
+	// confirmed to the lender.
+	unconfirmedReduction bool
 }
 
-// lent takes a loan. It takes the place of the lender's earlier ones; a copy
-// that was overtaken by a later loan changes nothing.
-func (s *State) lent(now time.Time, from string, m *pb.ShareLoan) {
+// handleLoan processes a loan, which replaces the lender's earlier ones. A
+// message that arrives after a later loan is ignored.
+func (s *State) handleLoan(now time.Time, from string, m *pb.ShareLoan) {
 	kind := Kind{Customer: m.Customer, Name: m.Kind}
 	e := s.entries[kind]
 	if e == nil || !slices.Contains(e.limit.Members, from) || !slices.Contains(e.limit.Members, s.vm) {
 		return
 	}
-	// A loan to a former incarnation carries a stamp of another clock.
-	if m.BorrowerIncarnation != s.incarnation || m.StampUs > s.stamp(now) {
+	// A loan to a previous incarnation carries a timestamp of another clock.
+	if m.BorrowerIncarnation != s.incarnation || m.StampUs > s.timestampUs(now) {
 		return
 	}
 	asked := s.started.Add(time.Duration(m.StampUs) * time.Microsecond)
-	if asked.Before(e.since) {
+	if asked.Before(e.membersChangedAt) {
 		return
 	}
 	b := e.borrowings[from]
@@ -48,18 +49,18 @@
 	if m.Incarnation > b.incarnation {
 		*b = borrowing{incarnation: m.Incarnation}
 	}
-	amount := e.borrowed(m)
-	b.lowered = b.lowered || amount.lowers(b.amount)
+	amount := e.parseLoan(m)
+	b.unconfirmedReduction = b.unconfirmedReduction || amount.reduces(b.amount)
 	b.sequence = m.Sequence
 	b.amount = amount
-	b.until = asked.Add(borrowedLife(min(s.timing.Lease, time.Duration(m.RemainingMs)*time.Millisecond)))
+	b.until = asked.Add(borrowerTerm(min(s.timing.Lease, time.Duration(m.RemainingMs)*time.Millisecond)))
 	if b.amount != (Amount{}) {
-		e.failed = 0
+		e.failedRequests = 0
 	}
-	s.update(now, kind)
+	s.publishShare(now, kind)
 }
 
-func (e *entry) borrowed(m *pb.ShareLoan) Amount {
+func (e *entry) parseLoan(m *pb.ShareLoan) Amount {
 	a := Amount{Rate: m.Rate, Burst: int(m.Burst), Concurrency: int(m.Concurrency)}
 	if !(a.Rate >= 0) {
 		return Amount{}
@@ -67,48 +68,50 @@
 	return a.min(e.limit.Amount)
 }
 
-// ask requests loans for what is needed above the entitlement, renews those
-// that are held and confirms those that were lowered.
-func (s *State) ask(now time.Time, e *entry, need Amount, running int) {
-	e.confirm(now, running)
+// requestLoans asks for loans to cover the demand above the entitlement, renews
+// the loans held and confirms reductions.
+func (s *State) requestLoans(now time.Time, e *entry, need Amount, running int) {
+	e.confirmLoans(now, running)
 	if !slices.Contains(e.limit.Members, s.vm) {
 		return
 	}
-	deficit := need.minus(e.inForce)
+	deficit := need.minus(e.effective)
 	if !e.lendsConcurrency() {
 		deficit.Concurrency = 0
 	}
 	if deficit.Rate == 0 {
 		deficit.Burst = 0
 	}
-	held := e.held(now)
-	due := !now.Before(e.askAt) && (deficit != (Amount{}) || held != (Amount{}))
-	for _, vm := range s.lenders(now, e, due && !held.covers(deficit)) {
+	held := e.heldTotal(now)
+	due := !now.Before(e.nextRequestAt) && (deficit != (Amount{}) || held != (Amount{}))
+	for _, vm := range s.selectLenders(now, e, due && !held.covers(deficit)) {
 		b := e.borrowings[vm]
-		if !due && !b.confirms() {
+		if !due && !b.needsConfirmation() {
 			continue
 		}
-		s.sendAck(now, e, vm, b, wantFrom(b, now, deficit, held))
+		s.sendAck(now, e, vm, b, wantedFrom(b, now, deficit, held))
 	}
 	if due {
-		e.askAt = now.Add(s.pause(e, held.covers(deficit)))
+		e.nextRequestAt = now.Add(s.requestInterval(e, held.covers(deficit)))
 	}
 }
 
-// pause is the time until the next request: a fourth of a lease while loans
-// cover the need; otherwise soon, and later each time nothing came.
-func (s *State) pause(e *entry, covered bool) time.Duration {
+// requestInterval is the time until the next request: a quarter of a lease
+// while loans cover the demand, otherwise one tick, doubled after each failed
+// attempt up to four ticks.
+func (s *State) requestInterval(e *entry, covered bool) time.Duration {
 	if covered {
-		e.failed = 0
+		e.failedRequests = 0
 		return s.timing.Lease / 4
 	}
-	e.failed = min(e.failed+1, 3)
-	return s.timing.Tick() << (e.failed - 1)
+	e.failedRequests = min(e.failedRequests+1, 3)
+	return s.timing.Tick() << (e.failedRequests - 1)
 }
 
-// confirm notes the loans whose earlier, larger ones are out of use.
-func (e *entry) confirm(now time.Time, running int) {
-	if running > e.share(now).At(now).Concurrency {
+// confirmLoans marks the newest loans as confirmed once the running requests
+// fit into the current share, so that no larger, earlier loan is in use.
+func (e *entry) confirmLoans(now time.Time, running int) {
+	if running > e.currentShare(now).At(now).Concurrency {
 		return
 	}
 	for _, b := range e.borrowings {
@@ -116,13 +119,14 @@
 	}
 }
 
-// confirms tells whether the lender waits to hear that it has a part back.
-func (b *borrowing) confirms() bool {
-	return b != nil && b.lowered && b.confirmed == b.sequence
+// needsConfirmation reports whether the lender waits for the confirmation of a
+// reduction.
+func (b *borrowing) needsConfirmation() bool {
+	return b != nil && b.unconfirmedReduction && b.confirmed == b.sequence
 }
 
-// held is the sum of the loans.
-func (e *entry) held(now time.Time) Amount {
+// heldTotal returns the sum of the unexpired loans.
+func (e *entry) heldTotal(now time.Time) Amount {
 	var sum Amount
 	for _, b := range e.borrowings {
 		if now.Before(b.until) {
@@ -132,12 +136,12 @@
 	return sum
 }
 
-// lenders is the VMs that lend or lent lately and, when more is needed, the
-// next few others in turn.
-func (s *State) lenders(now time.Time, e *entry, more bool) []string {
+// selectLenders returns the VMs with a current loan or an unconfirmed reduction
+// and, if more is needed, the next maxNewLenders others in round-robin order.
+func (s *State) selectLenders(now time.Time, e *entry, more bool) []string {
 	var out []string
 	for vm, b := range e.borrowings {
-		if now.Before(b.until) || b.confirms() {
+		if now.Before(b.until) || b.needsConfirmation() {
 			out = append(out, vm)
 		}
 	}
@@ -147,40 +151,42 @@
 	}
 	known := len(out)
 	for range e.limit.Members {
-		if len(out) == known+newLenders {
+		if len(out) == known+maxNewLenders {
 			break
 		}
-		e.next = (e.next + 1) % len(e.limit.Members)
-		if vm := e.limit.Members[e.next]; vm != s.vm && !slices.Contains(out, vm) {
+		e.nextLender = (e.nextLender + 1) % len(e.limit.Members)
+		if vm := e.limit.Members[e.nextLender]; vm != s.vm && !slices.Contains(out, vm) {
 			out = append(out, vm)
 		}
 	}
 	return out
 }
 
-// wantFrom is what to hold from one lender: its loan and all that is missing,
-// or its part of the deficit when more is held than is missing.
-func wantFrom(b *borrowing, now time.Time, deficit, held Amount) Amount {
+// wantedFrom returns the amount to request from one lender: its current loan
+// plus the whole shortfall, or a proportional part of the deficit if more is
+// held than needed.
+func wantedFrom(b *borrowing, now time.Time, deficit, held Amount) Amount {
 	var own Amount
 	if b != nil && now.Before(b.until) {
 		own = b.amount
 	}
 	return Amount{
-		Rate:        wantPart(own.Rate, deficit.Rate, held.Rate),
-		Burst:       ceil(wantPart(float64(own.Burst), float64(deficit.Burst), float64(held.Burst))),
-		Concurrency: ceil(wantPart(float64(own.Concurrency), float64(deficit.Concurrency), float64(held.Concurrency))),
+		Rate:        wantedPart(own.Rate, deficit.Rate, held.Rate),
+		Burst:       ceil(wantedPart(float64(own.Burst), float64(deficit.Burst), float64(held.Burst))),
+		Concurrency: ceil(wantedPart(float64(own.Concurrency), float64(deficit.Concurrency), float64(held.Concurrency))),
 	}
 }
 
-func wantPart(own, deficit, held float64) float64 {
+func wantedPart(own, deficit, held float64) float64 {
 	if held > deficit {
 		return own * deficit / held
 	}
 	return own + deficit - held
 }
 
-// stamp is this incarnation's clock, at least 1.
-func (s *State) stamp(now time.Time) uint64 {
+// timestampUs returns the time since this incarnation started, in microseconds
+// and at least 1.
+func (s *State) timestampUs(now time.Time) uint64 {
 	return uint64(max(1, now.Sub(s.started).Microseconds()))
 }
 
@@ -192,12 +198,12 @@
 		Burst:       uint32(want.Burst),
 		Concurrent:  uint32(want.Concurrency),
 		Incarnation: s.incarnation,
-		StampUs:     s.stamp(now),
+		StampUs:     s.timestampUs(now),
 	}
 	if b != nil {
 		m.Sequence = b.confirmed
 		m.LenderIncarnation = b.incarnation
-		b.lowered = b.lowered && b.confirmed != b.sequence
+		b.unconfirmedReduction = b.unconfirmedReduction && b.confirmed != b.sequence
 	}
 	s.actions = append(s.actions, SendAck{To: vm, Message: m})
 }
--- a/internal/share/lend.go
+++ b/internal/share/lend.go
@@ -9,30 +9,33 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// lending is what this VM lent to one other VM and what that VM asked for.
+// lending records the loans to one other VM and its latest request.
 type lending struct {
-	// incarnation of the borrower; loans to an earlier one ended with it.
+	// incarnation is the borrower's. Loans to an earlier incarnation ended with
+	// it.
 	incarnation uint64
 	stampUs     uint64
-	askedAt     time.Time
+	requestedAt time.Time
 	want        Amount
 	// answered is false while a request waits for a loan.
 	answered bool
-	// grants that may still be in use, ascending by sequence.
+	// grants may still be in use. They are sorted by sequence.
 	grants []grant
 }
 
-// grant is one loan as the lender counts it.
+// grant is a loan as the lender accounts for it.
 type grant struct {
 	sequence uint64
 	amount   Amount
-	// expires is when rate and burst come back, released when concurrency does.
+	// expires is when rate and burst return to the lender, released when
+	// concurrency does.
 	expires  time.Time
 	released time.Time
 }
 
-// charge is what the borrower may be using: the most of any loan it may hold.
-func (l *lending) charge(now time.Time) Amount {
+// outstanding returns the most that the borrower may be using: the maximum over
+// all loans it may still hold.
+func (l *lending) outstanding(now time.Time) Amount {
 	var most Amount
 	for _, g := range l.grants {
 		if now.Before(g.expires) {
@@ -44,8 +47,8 @@
 	return most
 }
 
-// latest is the newest loan while it lasts.
-func (l *lending) latest(now time.Time) Amount {
+// latestAmount returns the newest loan, or zero once it has expired.
+func (l *lending) latestAmount(now time.Time) Amount {
 	if n := len(l.grants); n > 0 && now.Before(l.grants[n-1].expires) {
 		return l.grants[n-1].amount
 	}
@@ -56,33 +59,33 @@
 	l.grants = slices.DeleteFunc(l.grants, func(g grant) bool { return !now.Before(g.released) })
 }
 
-// confirm forgets the loans before the confirmed one. The confirmed one itself
-// goes when it gave nothing.
-func (l *lending) confirm(sequence uint64) {
+// confirmUpTo removes the loans before the confirmed one, and the confirmed one
+// itself if it is empty.
+func (l *lending) confirmUpTo(sequence uint64) {
 	l.grants = slices.DeleteFunc(l.grants, func(g grant) bool {
 		return g.sequence < sequence || (g.sequence == sequence && g.amount == (Amount{}))
 	})
 }
 
-// add notes a new loan and forgets those it outlasts and covers.
-func (l *lending) add(g grant) {
+// addGrant records a new loan and removes those that it covers and outlasts.
+func (l *lending) addGrant(g grant) {
 	l.grants = slices.DeleteFunc(l.grants, func(old grant) bool {
 		return g.amount.covers(old.amount) && !g.expires.Before(old.expires) && !g.released.Before(old.released)
 	})
 	l.grants = append(l.grants, g)
 }
 
-// charged is everything lent that may still be in use.
-func (e *entry) charged(now time.Time) Amount {
+// outstanding returns the sum of all loans that may still be in use.
+func (e *entry) outstanding(now time.Time) Amount {
 	var sum Amount
 	for _, l := range e.lendings {
-		sum = sum.plus(l.charge(now))
+		sum = sum.plus(l.outstanding(now))
 	}
 	return sum
 }
 
-// acked takes a request for a loan and the confirmation in it.
-func (s *State) acked(now time.Time, from string, m *pb.ShareAck) {
+// handleAck processes a request for a loan and the confirmation it carries.
+func (s *State) handleAck(now time.Time, from string, m *pb.ShareAck) {
 	kind := Kind{Customer: m.Customer, Name: m.Kind}
 	e := s.entries[kind]
 	if e == nil || from == s.vm || !slices.Contains(e.limit.Members, from) || !slices.Contains(e.limit.Members, s.vm) {
@@ -93,23 +96,24 @@
 		l = &lending{}
 		e.lendings[from] = l
 	}
-	// An older incarnation, or a copy that was overtaken, says nothing new.
+	// Messages of an older incarnation and reordered duplicates are stale.
 	if m.Incarnation < l.incarnation || (m.Incarnation == l.incarnation && m.StampUs <= l.stampUs) {
 		return
 	}
 	l.incarnation = m.Incarnation
 	l.stampUs = m.StampUs
-	l.askedAt = now
-	l.want = wanted(m)
+	l.requestedAt = now
+	l.want = parseWanted(m)
 	l.answered = false
 	if m.LenderIncarnation == s.incarnation {
-		l.confirm(m.Sequence)
+		l.confirmUpTo(m.Sequence)
 	}
-	s.update(now, kind)
+	s.publishShare(now, kind)
 }
 
-// wanted reads what is asked for; nonsense counts as nothing.
-func wanted(m *pb.ShareAck) Amount {
+// parseWanted returns the requested amount. A rate that is negative or not
+// finite counts as 0.
+func parseWanted(m *pb.ShareAck) Amount {
 	a := Amount{Burst: int(m.Burst), Concurrency: int(m.Concurrent)}
 	if m.Demand > 0 && !math.IsInf(m.Demand, 0) {
 		a.Rate = m.Demand
@@ -117,40 +121,40 @@
 	return a
 }
 
-// lend decides the loans of one kind. Each is counted here before it is sent.
-// While no request would be let in here no rate is lent: what is kept of a low
-// rate needs many seconds for the first one.
-func (s *State) lend(now time.Time, e *entry, need Amount, u Usage) []SendLoan {
+// grantLoans decides the loans of one kind and records each before it is sent.
+// It lends no rate while this VM has no token itself: at a low rate, the
+// remainder would take many seconds to produce the first token.
+func (s *State) grantLoans(now time.Time, e *entry, need Amount, u Usage) []SendLoan {
 	names := s.borrowers(now, e)
 	if len(names) == 0 {
 		return nil
 	}
-	grants := divide(e.inForce.minus(e.floor().max(need)), e.wants(names))
-	keep := e.floor()
+	grants := divideProportionally(e.effective.minus(e.reserved().max(need)), e.wantedBy(names))
+	keep := e.reserved()
 	keep.Concurrency = max(keep.Concurrency, u.Running)
 	if !u.Ready {
-		keep.Rate, keep.Burst = e.inForce.Rate, e.inForce.Burst
+		keep.Rate, keep.Burst = e.effective.Rate, e.effective.Burst
 	}
-	free := e.inForce.minus(e.charged(now)).minus(keep)
+	free := e.effective.minus(e.outstanding(now)).minus(keep)
 	var out []SendLoan
 	for i, vm := range names {
 		l := e.lendings[vm]
-		held := l.charge(now)
+		held := l.outstanding(now)
 		amount := grants[i].min(held.plus(free))
-		if !l.due(now, amount, s.fresh(now, l)) {
+		if !l.shouldSend(now, amount, s.requestIsFresh(now, l)) {
 			continue
 		}
 		free = free.minus(amount.minus(held))
-		out = append(out, s.loan(e, vm, l, amount))
+		out = append(out, s.newLoan(e, vm, l, amount))
 	}
 	return out
 }
 
-// borrowers is the VMs that wait for a loan or hold one, by name.
+// borrowers returns the sorted names of VMs that wait for a loan or hold one.
 func (s *State) borrowers(now time.Time, e *entry) []string {
 	var names []string
 	for vm, l := range e.lendings {
-		if s.fresh(now, l) || l.latest(now) != (Amount{}) {
+		if s.requestIsFresh(now, l) || l.latestAmount(now) != (Amount{}) {
 			names = append(names, vm)
 		}
 	}
@@ -158,13 +162,13 @@
 	return names
 }
 
-// fresh tells whether a request is young enough that its loan still has most of
-// its life.
-func (s *State) fresh(now time.Time, l *lending) bool {
-	return now.Sub(l.askedAt) < s.timing.Lease/2
+// requestIsFresh reports whether a request is recent enough that its loan still
+// has most of its lifetime left.
+func (s *State) requestIsFresh(now time.Time, l *lending) bool {
+	return now.Sub(l.requestedAt) < s.timing.Lease/2
 }
 
-func (e *entry) wants(names []string) []Amount {
+func (e *entry) wantedBy(names []string) []Amount {
 	out := make([]Amount, len(names))
 	for i, vm := range names {
 		out[i] = e.lendings[vm].want
@@ -175,27 +179,27 @@
 	return out
 }
 
-// due tells whether a loan should be sent: it answers a request, or it takes
-// back part of one that is out. A request that gets nothing gets no answer.
-func (l *lending) due(now time.Time, amount Amount, fresh bool) bool {
-	latest := l.latest(now)
+// shouldSend reports whether a loan answers a request or reduces one that is
+// outstanding. A request that gets nothing gets no reply.
+func (l *lending) shouldSend(now time.Time, amount Amount, fresh bool) bool {
+	latest := l.latestAmount(now)
 	if !l.answered && fresh {
 		return amount != (Amount{}) || latest != (Amount{})
 	}
-	return amount.lowers(latest)
+	return amount.reduces(latest)
 }
 
-// lowers tells whether a takes a part of old away that is worth a message.
-func (a Amount) lowers(old Amount) bool {
-	return a.Rate < old.Rate*(1-minRatePart) || a.Burst < old.Burst || a.Concurrency < old.Concurrency
+// reduces reports whether a is lower than old by enough to justify a message.
+func (a Amount) reduces(old Amount) bool {
+	return a.Rate < old.Rate*(1-minRetainedRate) || a.Burst < old.Burst || a.Concurrency < old.Concurrency
 }
 
-func (s *State) loan(e *entry, vm string, l *lending, amount Amount) SendLoan {
+func (s *State) newLoan(e *entry, vm string, l *lending, amount Amount) SendLoan {
 	s.sequence++
 	l.answered = true
-	// The borrower counts from its stamp, which is before askedAt.
-	expires := l.askedAt.Add(s.timing.LentLife())
-	l.add(grant{sequence: s.sequence, amount: amount, expires: expires, released: expires.Add(e.hold())})
+	// The borrower counts from its own timestamp, which precedes requestedAt.
+	expires := l.requestedAt.Add(s.timing.LenderTerm())
+	l.addGrant(grant{sequence: s.sequence, amount: amount, expires: expires, released: expires.Add(e.drainTime())})
 	return SendLoan{To: vm, Message: &pb.ShareLoan{
 		Customer:            e.limit.Kind.Customer,
 		Kind:                e.limit.Kind.Name,
@@ -210,8 +214,9 @@
 	}}
 }
 
-// divide gives each want its part of the pool, by the size of the wants.
-func divide(pool Amount, wants []Amount) []Amount {
+// divideProportionally splits the pool between the wants, in proportion to
+// their size.
+func divideProportionally(pool Amount, wants []Amount) []Amount {
 	var sum Amount
 	for _, w := range wants {
 		sum = sum.plus(w)
@@ -220,9 +225,9 @@
 	left := pool
 	for i, w := range wants {
 		out[i] = Amount{
-			Rate:        fraction(w.Rate, pool.Rate, sum.Rate),
-			Burst:       int(fraction(float64(w.Burst), float64(pool.Burst), float64(sum.Burst))),
-			Concurrency: int(fraction(float64(w.Concurrency), float64(pool.Concurrency), float64(sum.Concurrency))),
+			Rate:        proportionalPart(w.Rate, pool.Rate, sum.Rate),
+			Burst:       int(proportionalPart(float64(w.Burst), float64(pool.Burst), float64(sum.Burst))),
+			Concurrency: int(proportionalPart(float64(w.Concurrency), float64(pool.Concurrency), float64(sum.Concurrency))),
 		}
 		left = left.minus(out[i])
 	}
@@ -235,8 +240,9 @@
 	return out
 }
 
-// fraction is want, or its part of the pool when the sum of wants exceeds it.
-func fraction(want, pool, sum float64) float64 {
+// proportionalPart returns want, or its part of the pool if the sum of all
+// wants exceeds the pool.
+func proportionalPart(want, pool, sum float64) float64 {
 	if sum <= pool {
 		return want
 	}
--- a/internal/share/message_test.go
+++ b/internal/share/message_test.go
@@ -10,22 +10,22 @@
 	"sycamorekeel.example/sycamorekeel/internal/share"
 )
 
-// single is one VM, stepped by hand.
-type single struct {
+// testVM is a single VM that the test steps by hand.
+type testVM struct {
 	state *share.State
 	now   time.Time
 	share share.Share
 	sent  []share.Action
 }
 
-func newSingle() *single {
-	s := &single{now: epoch}
+func newTestVM() *testVM {
+	s := &testVM{now: epoch}
 	s.state = share.New(share.Options{VM: "a", Incarnation: 5, Started: epoch, Timing: timing})
-	s.step(share.Configured{Limits: []share.Limit{three(120, 60)}})
+	s.step(share.Configured{Limits: []share.Limit{threeMembers(120, 60)}})
 	return s
 }
 
-func (s *single) step(e share.Event) {
+func (s *testVM) step(e share.Event) {
 	s.sent = nil
 	for _, a := range s.state.Step(s.now, e) {
 		if set, ok := a.(share.Set); ok {
@@ -36,11 +36,11 @@
 	}
 }
 
-func (s *single) tick(u share.Usage) {
+func (s *testVM) tick(u share.Usage) {
 	s.step(share.Tick{Usage: func(share.Kind) share.Usage { return u }})
 }
 
-func (s *single) after(d time.Duration) *single {
+func (s *testVM) after(d time.Duration) *testVM {
 	s.now = s.now.Add(d)
 	return s
 }
@@ -54,28 +54,27 @@
 	return m
 }
 
-// Symptom: a VM uses a loan that its lender no longer counts.
-// Sequence: a loan arrives that was not made for this request of this process.
-// Cause: as each row says.
-func TestForeignAndLateLoansAreRefused(t *testing.T) {
+// A borrower must not use a loan that its lender no longer counts. Each row is
+// a loan that was not issued for this request of this process.
+func TestUnsolicitedAndLateLoansAreRefused(t *testing.T) {
 	rows := []struct {
 		name string
 		from string
 		edit func(*pb.ShareLoan)
 		want float64
 	}{
-		{"as asked for", "b", func(*pb.ShareLoan) {}, 50},
-		{"to a former incarnation", "b", func(m *pb.ShareLoan) { m.BorrowerIncarnation = 4 }, 40},
+		{"as requested", "b", func(*pb.ShareLoan) {}, 50},
+		{"to a previous incarnation", "b", func(m *pb.ShareLoan) { m.BorrowerIncarnation = 4 }, 40},
 		{"from a VM outside the home set", "x", func(*pb.ShareLoan) {}, 40},
 		{"of another kind", "b", func(m *pb.ShareLoan) { m.Kind = "other" }, 40},
-		{"stamped in the future", "b", func(m *pb.ShareLoan) { m.StampUs = 9_000_000 }, 40},
-		{"stamped beyond any time", "b", func(m *pb.ShareLoan) { m.StampUs = 1 << 63 }, 40},
-		{"that waited longer than it lives", "b", func(m *pb.ShareLoan) { m.StampUs = 2_000_000 }, 40},
-		{"of a rate below 0", "b", func(m *pb.ShareLoan) { m.Rate = -5 }, 40},
+		{"timestamp in the future", "b", func(m *pb.ShareLoan) { m.StampUs = 9_000_000 }, 40},
+		{"timestamp beyond the range of time", "b", func(m *pb.ShareLoan) { m.StampUs = 1 << 63 }, 40},
+		{"delayed past its lifetime", "b", func(m *pb.ShareLoan) { m.StampUs = 2_000_000 }, 40},
+		{"with a negative rate", "b", func(m *pb.ShareLoan) { m.Rate = -5 }, 40},
 	}
 	for _, r := range rows {
 		t.Run(r.name, func(t *testing.T) {
-			s := newSingle().after(5 * time.Second)
+			s := newTestVM().after(5 * time.Second)
 			s.tick(share.Usage{})
 			s.step(share.Lent{From: r.from, Message: loan(r.edit)})
 			NewWithT(t).Expect(s.share.At(s.now).Rate).To(BeNumerically("~", r.want, 1e-9))
@@ -83,18 +82,17 @@
 	}
 }
 
-// Symptom: a loan that was lowered is used in full again.
-// Sequence: the lower loan overtakes the higher one, or the lender restarts and
-// a loan of its former process comes late.
-// Cause: taking loans in the order they arrive.
-func TestOvertakenLoansChangeNothing(t *testing.T) {
+// A reduced loan must not be used in full again when the reduction overtakes
+// the earlier loan, or when a loan of the lender's previous process arrives
+// late. Processing loans in order of arrival would allow both.
+func TestReorderedLoansAreIgnored(t *testing.T) {
 	for name, late := range map[string]func(*pb.ShareLoan){
-		"lower sequence":     func(m *pb.ShareLoan) { m.Sequence = 6 },
-		"same sequence":      func(m *pb.ShareLoan) { m.Rate = 30 },
-		"former incarnation": func(m *pb.ShareLoan) { m.Incarnation, m.Sequence = 2, 99 },
+		"lower sequence":       func(m *pb.ShareLoan) { m.Sequence = 6 },
+		"same sequence":        func(m *pb.ShareLoan) { m.Rate = 30 },
+		"previous incarnation": func(m *pb.ShareLoan) { m.Incarnation, m.Sequence = 2, 99 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSingle().after(5 * time.Second)
+			s := newTestVM().after(5 * time.Second)
 			s.tick(share.Usage{})
 			s.step(share.Lent{From: "b", Message: loan(func(m *pb.ShareLoan) { m.Rate = 1 })})
 			s.step(share.Lent{From: "b", Message: loan(late)})
@@ -103,24 +101,22 @@
 	}
 }
 
-// Symptom: a loan confirmed as given back is used again.
-// Sequence: the home set changes and changes back; a copy of a loan from before
-// arrives, whose sequence is forgotten.
-// Cause: forgetting the sequence without refusing what came before.
-func TestLoansFromBeforeAListChangeAreRefused(t *testing.T) {
-	s := newSingle().after(5 * time.Second)
+// A loan that was confirmed as returned must not be used again. A change of the
+// home set and back discards the sequence number, so a duplicate from before
+// the change has to be refused by its request time.
+func TestLoansFromBeforeMemberChangeAreRefused(t *testing.T) {
+	s := newTestVM().after(5 * time.Second)
 	s.tick(share.Usage{})
 	s.step(share.Configured{Limits: []share.Limit{limitOf(120, 60, "a", "c", "d")}})
-	s.step(share.Configured{Limits: []share.Limit{three(120, 60)}})
+	s.step(share.Configured{Limits: []share.Limit{threeMembers(120, 60)}})
 	s.step(share.Lent{From: "b", Message: loan(func(*pb.ShareLoan) {})})
 	NewWithT(t).Expect(s.share.Loans).To(BeEmpty())
 }
 
-// Symptom: more requests run than the limit allows just after a loan.
-// Sequence: a VM whose need looks small is asked while many requests run.
-// Cause: lending concurrency that running requests still use.
+// Concurrency that running requests use must not be lent, even if the estimated
+// demand is low: otherwise more requests run than the limit allows.
 func TestRunningRequestsAreNotLent(t *testing.T) {
-	s := newSingle().after(5 * time.Second)
+	s := newTestVM().after(5 * time.Second)
 	s.tick(share.Usage{Ready: true})
 	s.step(share.Ack{From: "b", Message: &pb.ShareAck{
 		Customer: search.Customer, Kind: search.Name, Demand: 100, Concurrent: 60, Burst: 60, Incarnation: 1, StampUs: 1,
@@ -131,14 +127,13 @@
 	NewWithT(t).Expect(s.share.Base.Concurrency).To(Equal(15))
 }
 
-// Symptom: a lender counts a loan as given back that is still in use.
-// Sequence: a copy of an older request arrives after a newer one.
-// Cause: taking requests in the order they arrive.
-func TestOvertakenRequestsChangeNothing(t *testing.T) {
+// A stale duplicate of a request must not replace a newer one: the lender would
+// count a loan as returned that is still in use.
+func TestReorderedRequestsAreIgnored(t *testing.T) {
 	ask := func(stamp uint64, want float64) share.Ack {
 		return share.Ack{From: "b", Message: &pb.ShareAck{Customer: search.Customer, Kind: search.Name, Demand: want, Incarnation: 1, StampUs: stamp}}
 	}
-	s := newSingle().after(5 * time.Second)
+	s := newTestVM().after(5 * time.Second)
 	s.tick(share.Usage{Ready: true})
 	s.step(ask(20, 5))
 	s.step(ask(10, 30))
@@ -149,11 +144,10 @@
 	NewWithT(t).Expect(m.StampUs).To(BeNumerically("==", 20))
 }
 
-// Symptom: a VM that left a home set still uses what its members lent it.
-// Sequence: a loan arrives; the new list is in force; the loan has not ended.
-// Cause: dropping the own part only.
-func TestAVMOutsideTheHomeSetUsesNothing(t *testing.T) {
-	s := newSingle().after(5 * time.Second)
+// A VM that left the home set must stop using loans from its members at once,
+// not only its own part.
+func TestVMOutsideHomeSetUsesNothing(t *testing.T) {
+	s := newTestVM().after(5 * time.Second)
 	s.tick(share.Usage{})
 	s.step(share.Lent{From: "b", Message: loan(func(*pb.ShareLoan) {})})
 	NewWithT(t).Expect(s.share.Loans).To(HaveLen(1))
--- a/internal/share/network_test.go
+++ b/internal/share/network_test.go
@@ -22,10 +22,10 @@
 	os.Exit(m.Run())
 }
 
-// drift is how much faster or slower than real time the clocks run.
-const drift = 0.01
+// clockDrift is the relative deviation of the simulated clocks from real time.
+const clockDrift = 0.01
 
-// step is the real time between two looks at the network.
+// step is the real time between two simulation steps.
 const step = 10 * time.Millisecond
 
 var (
@@ -34,23 +34,25 @@
 	epoch  = time.Unix(1_000_000, 0)
 )
 
-// network is a few VMs with clocks of their own, seen from outside.
+// network simulates VMs with independent clocks and checks the sum of their
+// shares.
 type network struct {
-	t      fataler
-	random *rand.Rand
-	now    time.Duration
-	vms    []*vm
-	flight []packet
-	// longest is the most a message is delayed; loss and twice are chances.
-	longest     time.Duration
-	loss, twice float64
-	cut         map[[2]string]bool
-	messages    int
-	bytes       int
-	// highest is the highest limit that was in force anywhere.
-	highest share.Amount
-	// most is the highest sum of shares seen.
-	most share.Amount
+	t        fataler
+	random   *rand.Rand
+	now      time.Duration
+	vms      []*vm
+	inFlight []packet
+	// maxDelay bounds the delay of a message; lossRate and duplicateRate are
+	// probabilities.
+	maxDelay                time.Duration
+	lossRate, duplicateRate float64
+	blocked                 map[[2]string]bool
+	messages                int
+	bytes                   int
+	// highestLimit is the highest limit that was in force on any VM.
+	highestLimit share.Amount
+	// maxSum is the highest sum of shares observed.
+	maxSum share.Amount
 }
 
 type fataler interface {
@@ -58,17 +60,17 @@
 	Fatalf(format string, args ...any)
 }
 
-// packet is a message under way.
+// packet is a message in flight.
 type packet struct {
 	at       time.Duration
 	from, to string
 	event    share.Event
 }
 
-// vm is one simulated VM. Its clock runs at rate times real time.
+// vm is one simulated VM. Its clock runs at clockRate times real time.
 type vm struct {
 	name        string
-	rate        float64
+	clockRate   float64
 	offset      time.Duration
 	incarnation uint64
 	state       *share.State
@@ -77,21 +79,22 @@
 	paused      bool
 	inbox       []packet
 	nextTick    time.Duration
-	// demand is in requests a second and at a time; requests last for length.
-	demand float64
-	wants  int
-	length time.Duration
-	// ends of the running requests, in real time.
+	// demand is in requests per second and concurrencyDemand in concurrent
+	// requests; each request runs for requestDuration.
+	demand            float64
+	concurrencyDemand int
+	requestDuration   time.Duration
+	// running holds the end times of the running requests, in real time.
 	running []time.Duration
 	peak    int
-	// usable is the integral of the usable rate over time.
-	usable float64
+	// usableRequests is the integral of the usable rate over time.
+	usableRequests float64
 }
 
 func newNetwork(t fataler, seed uint64, limit share.Limit) *network {
-	n := &network{t: t, random: rand.New(rand.NewPCG(seed, 7)), longest: 30 * time.Millisecond, cut: map[[2]string]bool{}}
+	n := &network{t: t, random: rand.New(rand.NewPCG(seed, 7)), maxDelay: 30 * time.Millisecond, blocked: map[[2]string]bool{}}
 	for i, name := range limit.Members {
-		v := &vm{name: name, rate: 1 + drift*float64(i%3-1), offset: time.Duration(i) * time.Hour, view: limit, length: limit.Hold}
+		v := &vm{name: name, clockRate: 1 + clockDrift*float64(i%3-1), offset: time.Duration(i) * time.Hour, view: limit, requestDuration: limit.Hold}
 		v.nextTick = time.Duration(n.random.Int64N(int64(timing.Tick())))
 		n.vms = append(n.vms, v)
 		n.restart(v)
@@ -109,10 +112,10 @@
 }
 
 func (n *network) clock(v *vm) time.Time {
-	return epoch.Add(v.offset + time.Duration(float64(n.now)*v.rate))
+	return epoch.Add(v.offset + time.Duration(float64(n.now)*v.clockRate))
 }
 
-// restart replaces the process: its requests end, its state is forgotten.
+// restart replaces the process: its requests end and its state is lost.
 func (n *network) restart(v *vm) {
 	v.incarnation++
 	v.state = share.New(share.Options{VM: v.name, Incarnation: v.incarnation, Started: n.clock(v), Timing: timing})
@@ -121,17 +124,17 @@
 }
 
 func (n *network) configure(v *vm, l share.Limit) {
-	n.raise(v.view.Amount)
+	n.recordLimit(v.view.Amount)
 	v.view = l
-	n.carry(v, v.state.Step(n.clock(v), share.Configured{Limits: []share.Limit{l}}))
+	n.perform(v, v.state.Step(n.clock(v), share.Configured{Limits: []share.Limit{l}}))
 }
 
 func (n *network) vm(name string) *vm {
 	return n.vms[slices.IndexFunc(n.vms, func(v *vm) bool { return v.name == name })]
 }
 
-// carry carries actions out.
-func (n *network) carry(v *vm, actions []share.Action) {
+// perform carries out actions.
+func (n *network) perform(v *vm, actions []share.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case share.Set:
@@ -148,33 +151,33 @@
 	n.messages++
 	n.bytes += proto.Size(m)
 	copies := 1
-	if n.random.Float64() < n.twice {
+	if n.random.Float64() < n.duplicateRate {
 		copies = 2
 	}
 	for range copies {
-		if n.cut[[2]string{from, to}] || n.random.Float64() < n.loss {
+		if n.blocked[[2]string{from, to}] || n.random.Float64() < n.lossRate {
 			continue
 		}
-		delay := time.Duration(n.random.Int64N(int64(n.longest)))
-		n.flight = append(n.flight, packet{at: n.now + delay, from: from, to: to, event: e})
+		delay := time.Duration(n.random.Int64N(int64(n.maxDelay)))
+		n.inFlight = append(n.inFlight, packet{at: n.now + delay, from: from, to: to, event: e})
 	}
 }
 
-// run lets real time pass and checks the sums at every look.
+// run advances real time and checks the sums after every step.
 func (n *network) run(d time.Duration) {
 	n.t.Helper()
 	for end := n.now + d; n.now < end; {
 		n.now += step
 		n.deliver()
 		for _, v := range n.vms {
-			n.live(v)
+			n.stepVM(v)
 		}
 		n.check()
 	}
 }
 
 func (n *network) deliver() {
-	n.flight = slices.DeleteFunc(n.flight, func(p packet) bool {
+	n.inFlight = slices.DeleteFunc(n.inFlight, func(p packet) bool {
 		if p.at > n.now {
 			return false
 		}
@@ -185,38 +188,38 @@
 	})
 }
 
-// live is one look at one VM: requests start before anything else, as they may
-// when a process wakes up, then the inbox, then the tick.
-func (n *network) live(v *vm) {
+// stepVM runs one step of one VM. Requests start before the inbox and the tick
+// are processed, as they may when a paused process resumes.
+func (n *network) stepVM(v *vm) {
 	v.running = slices.DeleteFunc(v.running, func(end time.Duration) bool { return end <= n.now })
 	if v.paused {
 		return
 	}
-	n.start(v)
+	n.startRequests(v)
 	for _, p := range v.inbox {
-		n.carry(v, v.state.Step(n.clock(v), p.event))
+		n.perform(v, v.state.Step(n.clock(v), p.event))
 	}
 	v.inbox = nil
 	if n.now >= v.nextTick {
 		v.nextTick = n.now + timing.Tick()
-		n.carry(v, v.state.Step(n.clock(v), share.Tick{Usage: func(share.Kind) share.Usage {
-			u := share.Usage{Rate: v.demand, Concurrency: max(v.peak, v.wants), Running: len(v.running), Ready: true}
+		n.perform(v, v.state.Step(n.clock(v), share.Tick{Usage: func(share.Kind) share.Usage {
+			u := share.Usage{Rate: v.demand, Concurrency: max(v.peak, v.concurrencyDemand), Running: len(v.running), Ready: true}
 			v.peak = len(v.running)
 			return u
 		}}))
 	}
-	v.usable += min(v.demand, v.share.At(n.clock(v)).Rate) * step.Seconds()
+	v.usableRequests += min(v.demand, v.share.At(n.clock(v)).Rate) * step.Seconds()
 }
 
-func (n *network) start(v *vm) {
-	for len(v.running) < min(v.wants, v.share.At(n.clock(v)).Concurrency) {
-		v.running = append(v.running, n.now+time.Duration(float64(v.length)/v.rate))
+func (n *network) startRequests(v *vm) {
+	for len(v.running) < min(v.concurrencyDemand, v.share.At(n.clock(v)).Concurrency) {
+		v.running = append(v.running, n.now+time.Duration(float64(v.requestDuration)/v.clockRate))
 	}
 	v.peak = max(v.peak, len(v.running))
 }
 
-// sum is everything in use at this instant: a VM uses its share, and requests
-// that started under a larger share still run.
+// sum is the capacity in use at this instant: each VM uses its share, and
+// requests that started under a larger share still run.
 func (n *network) sum() share.Amount {
 	var sum share.Amount
 	for _, v := range n.vms {
@@ -231,25 +234,25 @@
 func (n *network) check() {
 	n.t.Helper()
 	sum := n.sum()
-	n.most.Rate = max(n.most.Rate, sum.Rate)
-	n.most.Burst = max(n.most.Burst, sum.Burst)
-	n.most.Concurrency = max(n.most.Concurrency, sum.Concurrency)
+	n.maxSum.Rate = max(n.maxSum.Rate, sum.Rate)
+	n.maxSum.Burst = max(n.maxSum.Burst, sum.Burst)
+	n.maxSum.Concurrency = max(n.maxSum.Concurrency, sum.Concurrency)
 	limit := n.limit()
 	if sum.Rate > limit.Rate*(1+1e-9) || sum.Burst > limit.Burst || sum.Concurrency > limit.Concurrency {
 		n.t.Fatalf("at %v the shares add up to %+v, above %+v\n%s", n.now, sum, limit, n.describe())
 	}
 }
 
-// raise notes a limit that comes into force at some VM.
-func (n *network) raise(a share.Amount) {
-	n.highest.Rate = max(n.highest.Rate, a.Rate)
-	n.highest.Burst = max(n.highest.Burst, a.Burst)
-	n.highest.Concurrency = max(n.highest.Concurrency, a.Concurrency)
+// recordLimit records a limit that is or was in force on some VM.
+func (n *network) recordLimit(a share.Amount) {
+	n.highestLimit.Rate = max(n.highestLimit.Rate, a.Rate)
+	n.highestLimit.Burst = max(n.highestLimit.Burst, a.Burst)
+	n.highestLimit.Concurrency = max(n.highestLimit.Concurrency, a.Concurrency)
 }
 
-// limit is the highest limit that any VM held so far.
+// limit is the highest limit that any VM has held so far.
 func (n *network) limit() share.Amount {
-	most := n.highest
+	most := n.highestLimit
 	for _, v := range n.vms {
 		most.Rate = max(most.Rate, v.view.Rate)
 		most.Burst = max(most.Burst, v.view.Burst)
@@ -266,8 +269,8 @@
 	return out
 }
 
-// isolate cuts or restores both ways between a and b.
+// isolate blocks or restores both directions between a and b.
 func (n *network) isolate(a, b string, cut bool) {
-	n.cut[[2]string{a, b}] = cut
-	n.cut[[2]string{b, a}] = cut
+	n.blocked[[2]string{a, b}] = cut
+	n.blocked[[2]string{b, a}] = cut
 }
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -1,23 +1,24 @@
-// Package share decides which part of a customer's limits this VM may use. The
-// home VMs of a customer each hold an equal part of every limit without asking
-// anybody, and lend what they do not use to those that need more, by leases.
+// Package share divides a customer's limits between VMs. Each home VM of a
+// customer holds an equal part of every limit without any message, and lends
+// unused capacity to other home VMs by leases.
 //
-// The rule that carries it: a part that is lent counts at the lender for longer
-// than the borrower may use it, whatever happens to messages and processes. So
-// the sum of all shares never exceeds the limit among VMs that hold the same
-// list. Four things could break it, and each is met here:
+// Safety rests on one invariant: a loan counts against the lender for longer
+// than the borrower may use it, regardless of message loss, delay or crashes.
+// Among VMs with the same member list, the sum of all shares therefore never
+// exceeds the limit. Four cases threaten the invariant:
 //
-//   - A loan waits in an inbox while its receiver is paused: its life counts
-//     from a stamp the borrower itself put into the request that the loan
-//     answers, so waiting makes it shorter and never longer.
-//   - Clocks run at different speeds: the borrower's life of a loan is shortened
-//     and the lender's lengthened by MaxDrift and a margin.
-//   - A lender restarts and forgets what it lent: a new incarnation waits until
-//     every loan of the former one has ended.
-//   - The list of VMs changes: a VM that leaves the home set drops its share at
-//     once, and a share that grows waits a lease.
+//   - A loan waits in the inbox of a paused borrower. Its lifetime starts at
+//     the timestamp that the borrower put into its own request, so a delay
+//     shortens the loan and never extends it.
+//   - Clocks run at different speeds. MaxClockDrift and a safety margin shorten
+//     the lifetime at the borrower and lengthen it at the lender.
+//   - A lender restarts and loses its record of loans. The new incarnation
+//     waits until every loan of the previous one has expired.
+//   - The member list changes. A VM that leaves the home set drops its share at
+//     once, and a share that grows takes effect one lease later.
 //
-// The package is pure: time and events are handed in, actions come out.
+// The package performs no I/O and reads no clock: callers pass time and events
+// in and carry out the returned actions.
 package share
 
 import (
@@ -29,63 +30,64 @@
 )
 
 const (
-	// DefaultLease is the life of a loan.
+	// DefaultLease is the lifetime of a loan.
 	DefaultLease = 2 * time.Second
-	// MaxDrift bounds how much faster or slower than real time a VM's monotonic
-	// clock may run.
-	MaxDrift = 0.01
-	// margin is taken off the borrower's life of a loan and added to the
-	// lender's, so that rounding cannot make the two meet.
-	margin = 20 * time.Millisecond
-	// MaxHold is the longest deadline of kinds whose concurrency is lent: the
-	// lender gets lent concurrency back only when the borrower's requests under
-	// it have ended.
-	MaxHold = 5 * time.Second
-	// maxMessages bounds the messages of one tick, loans and requests together.
-	maxMessages = 4
-	// minRatePart of the entitled rate is never lent.
-	minRatePart = 0.1
-	// headroom is the demand wanted above what was seen, so that a kind whose
-	// demand grows is not refused before the next request for a loan.
-	headroom = 1.25
-	// newLenders is how many further VMs are asked at a time.
-	newLenders = 2
+	// MaxClockDrift bounds the relative deviation of a VM's monotonic clock
+	// from real time, in either direction.
+	MaxClockDrift = 0.01
+	// safetyMargin shortens a loan at the borrower and lengthens it at the
+	// lender, so that rounding cannot make the two periods overlap.
+	safetyMargin = 20 * time.Millisecond
+	// MaxLendableDuration is the longest deadline of a kind whose concurrency
+	// is lent. A lender recovers concurrency only after the borrower's requests
+	// under the loan have ended.
+	MaxLendableDuration = 5 * time.Second
+	// maxMessagesPerTick bounds loans and requests for loans together.
+	maxMessagesPerTick = 4
+	// minRetainedRate is the fraction of the entitled rate that is never lent.
+	minRetainedRate = 0.1
+	// demandHeadroom scales the observed rate up, so that a kind with growing
+	// demand is not refused before its next request for a loan.
+	demandHeadroom = 1.25
+	// maxNewLenders is the number of additional VMs asked per round of
+	// requests.
+	maxNewLenders = 2
 )
 
-// Timing derives every duration from the life of a loan, which must be the same
-// on all VMs.
+// Timing derives every duration from the lease, which must be equal on all VMs.
 type Timing struct {
 	Lease time.Duration
 }
 
-// Tick is how often the driver steps with a Tick.
+// Tick is the interval between Tick events.
 func (t Timing) Tick() time.Duration {
 	return t.Lease / 8
 }
 
-// LentLife is how long a loan counts at the lender, on the lender's clock. It
-// is also how long a new incarnation, and a share that grows with a new list,
-// has to wait.
-func (t Timing) LentLife() time.Duration {
-	return t.Lease + time.Duration(MaxDrift*float64(t.Lease)) + margin
+// LenderTerm is how long a loan counts against the lender, by the lender's
+// clock. A new incarnation, and a share that grows with a new member list, wait
+// for the same time.
+func (t Timing) LenderTerm() time.Duration {
+	return t.Lease + time.Duration(MaxClockDrift*float64(t.Lease)) + safetyMargin
 }
 
-// borrowedLife is how long a loan of the given life may be used, on the
+// borrowerTerm is how long a loan of the given lifetime may be used, by the
 // borrower's clock.
-func borrowedLife(life time.Duration) time.Duration {
-	return life - time.Duration(MaxDrift*float64(life)) - margin
+func borrowerTerm(life time.Duration) time.Duration {
+	return life - time.Duration(MaxClockDrift*float64(life)) - safetyMargin
 }
 
-// Kind names one request kind of one customer.
+// Kind identifies a request kind of a customer.
 type Kind struct{ Customer, Name string }
 
 // Amount is a limit or a part of one.
 type Amount struct {
-	// Rate is in requests a second.
+	// Rate is in requests per second.
 	Rate float64
-	// Burst is how many requests may start at once after a pause.
+	// Burst is the number of requests that may start at once after an idle
+	// period.
 	Burst int
-	// Concurrency is how many requests may run at a time.
+	// Concurrency is the number of requests that may run at a time.
 	Concurrency int
 }
 
@@ -93,7 +95,7 @@
 	return Amount{Rate: a.Rate + b.Rate, Burst: a.Burst + b.Burst, Concurrency: a.Concurrency + b.Concurrency}
 }
 
-// minus is a less b, at least 0 in each part.
+// minus subtracts b from a and clamps each field at 0.
 func (a Amount) minus(b Amount) Amount {
 	return Amount{Rate: math.Max(0, a.Rate-b.Rate), Burst: max(0, a.Burst-b.Burst), Concurrency: max(0, a.Concurrency-b.Concurrency)}
 }
@@ -106,21 +108,21 @@
 	return Amount{Rate: math.Max(a.Rate, b.Rate), Burst: max(a.Burst, b.Burst), Concurrency: max(a.Concurrency, b.Concurrency)}
 }
 
-// covers tells whether a is at least b in every part.
+// covers reports whether a is at least b in every field.
 func (a Amount) covers(b Amount) bool {
 	return a.Rate >= b.Rate && a.Burst >= b.Burst && a.Concurrency >= b.Concurrency
 }
 
-// Part is what member i of n is entitled to. The whole numbers of all members
-// add up to the limit exactly.
+// Part returns the entitlement of member i of n. The integer fields of all
+// members add up to the limit exactly.
 func (a Amount) Part(i, n int) Amount {
 	if i < 0 || i >= n {
 		return Amount{}
 	}
-	return Amount{Rate: a.Rate / float64(n), Burst: wholePart(a.Burst, i, n), Concurrency: wholePart(a.Concurrency, i, n)}
+	return Amount{Rate: a.Rate / float64(n), Burst: evenPart(a.Burst, i, n), Concurrency: evenPart(a.Concurrency, i, n)}
 }
 
-func wholePart(limit, i, n int) int {
+func evenPart(limit, i, n int) int {
 	part := limit / n
 	if i < limit%n {
 		part++
@@ -128,14 +130,14 @@
 	return part
 }
 
-// Share is what this VM may use of a limit.
+// Share is the capacity this VM may use of a limit: its own part and its loans.
 type Share struct {
 	Base Amount
-	// Loans are held from other VMs, the one that ends first at the front.
+	// Loans are borrowed from other VMs and sorted by expiry.
 	Loans []Loan
 }
 
-// Loan is a part of a share that ends.
+// Loan is capacity that may be used until a given time.
 type Loan struct {
 	Amount
 	Until time.Time
@@ -150,7 +152,7 @@
 	)
 }
 
-// At is the share at a moment.
+// At returns the total capacity at the given time.
 func (s Share) At(now time.Time) Amount {
 	sum := s.Base
 	for _, l := range s.Loans {
@@ -161,44 +163,47 @@
 	return sum
 }
 
-// Limit is a kind's limit and the VMs that share it.
+// Limit is the limit of a kind and the VMs that share it.
 type Limit struct {
 	Kind Kind
 	Amount
-	// Members are the home VMs, in the same order everywhere.
+	// Members are the home VMs, in the same order on every VM.
 	Members []string
 	// Hold is the longest time a request runs.
 	Hold time.Duration
 }
 
-// Usage is what the requests of a kind needed lately.
+// Usage is the recent demand of a kind.
 type Usage struct {
-	// Rate of arrivals, admitted or not, in requests a second.
+	// Rate is the arrival rate in requests per second, refused requests
+	// included.
 	Rate float64
-	// Concurrency that would have let all of them in.
+	// Concurrency is the number of slots that would have admitted every
+	// request.
 	Concurrency int
-	// Running requests at this moment.
+	// Running is the number of requests in progress.
 	Running int
-	// Ready tells whether the rate would let a request in at this moment.
+	// Ready reports whether the rate admits a request now.
 	Ready bool
 }
 
-// Event is one input of a State.
+// Event is an input of a State.
 type Event interface{ event() }
 
-// Configured puts limits in force; kinds that are not among them are dropped.
+// Configured replaces the limits. Kinds that it does not list are dropped.
 type Configured struct{ Limits []Limit }
 
-// Tick is the passing of time. Usage is asked for each kind.
+// Tick reports that time has passed. Usage returns the recent demand of a kind.
 type Tick struct{ Usage func(Kind) Usage }
 
-// Ack is a message of another home VM.
+// Ack is a request for a loan, or the confirmation of one, from another home
+// VM.
 type Ack struct {
 	From    string
 	Message *pb.ShareAck
 }
 
-// Lent is a loan of another home VM.
+// Lent is a loan received from another home VM.
 type Lent struct {
 	From    string
 	Message *pb.ShareLoan
@@ -209,17 +214,17 @@
 func (Ack) event()        {}
 func (Lent) event()       {}
 
-// Action is one output of a State. Actions are carried out in their order: a
-// share that falls is set before the loan that takes it is sent.
+// Action is an output of a State. The caller carries actions out in order: a
+// reduced share takes effect before the loan that uses the difference is sent.
 type Action interface{ action() }
 
-// Set puts a share in force.
+// Set puts a share into effect.
 type Set struct {
 	Kind  Kind
 	Share Share
 }
 
-// SendAck sends a message to a home VM.
+// SendAck sends a request for a loan, or a confirmation, to a home VM.
 type SendAck struct {
 	To      string
 	Message *pb.ShareAck
--- a/internal/share/state.go
+++ b/internal/share/state.go
@@ -6,56 +6,59 @@
 	"time"
 )
 
-// State is one VM's part in sharing every limit. It is not safe for concurrent
-// use.
+// State runs the lending protocol of one VM for all limits. It is not safe for
+// concurrent use.
 type State struct {
 	vm          string
 	incarnation uint64
 	started     time.Time
 	timing      Timing
-	// sequence numbers the loans of this incarnation.
+	// sequence is the number of the last loan that this incarnation issued.
 	sequence uint64
 	entries  map[Kind]*entry
-	order    []Kind
-	// cursor is where the next tick begins to send, so that many kinds share
-	// the bound on messages in turn.
+	kinds    []Kind
+	// cursor is the position in kinds where the last tick stopped, so that
+	// kinds take turns under maxMessagesPerTick.
 	cursor  int
 	actions []Action
 }
 
-// entry is one kind.
+// entry is the state of one kind.
 type entry struct {
 	limit Limit
-	// since is when the members came into force: loans asked for before are
-	// refused, as what is known of their sequence may be lost.
-	since   time.Time
-	target  Amount
-	inForce Amount
-	// rateAt and concurrencyAt are when a higher target comes into force.
-	rateAt        time.Time
-	concurrencyAt time.Time
-	lendings      map[string]*lending
-	borrowings    map[string]*borrowing
-	// askAt is when loans are asked for next.
-	askAt  time.Time
-	next   int
-	failed int
-	set    Share
-	// restart is set while only a former incarnation of this VM holds e back.
-	restart bool
+	// membersChangedAt is when the member list took effect. Loans requested
+	// earlier are refused, because their sequence numbers may have been
+	// forgotten.
+	membersChangedAt time.Time
+	entitled         Amount
+	effective        Amount
+	// rateIncreaseAt and concurrencyIncreaseAt are when a higher entitlement
+	// takes effect.
+	rateIncreaseAt        time.Time
+	concurrencyIncreaseAt time.Time
+	lendings              map[string]*lending
+	borrowings            map[string]*borrowing
+	// nextRequestAt is when the next request for loans is due.
+	nextRequestAt  time.Time
+	nextLender     int
+	failedRequests int
+	published      Share
+	// restarting is set while only loans of a previous incarnation of this VM
+	// delay the entitlement.
+	restarting bool
 }
 
-// Options are what a State needs.
+// Options configure a State.
 type Options struct {
 	VM string
-	// Incarnation is higher than that of every former process of the VM, and
-	// Started is when this one began.
+	// Incarnation is higher than that of every previous process of the VM, and
+	// Started is the start time of this process.
 	Incarnation uint64
 	Started     time.Time
 	Timing      Timing
 }
 
-// New is the state of a VM that may use nothing yet.
+// New returns a State that has no capacity yet.
 func New(opts Options) *State {
 	return &State{
 		vm:          opts.VM,
@@ -66,7 +69,7 @@
 	}
 }
 
-// Step takes one event in and returns what to do.
+// Step processes one event and returns the resulting actions.
 func (s *State) Step(now time.Time, e Event) []Action {
 	s.actions = nil
 	switch e := e.(type) {
@@ -75,30 +78,30 @@
 	case Tick:
 		s.tick(now, e.Usage)
 	case Ack:
-		s.acked(now, e.From, e.Message)
+		s.handleAck(now, e.From, e.Message)
 	case Lent:
-		s.lent(now, e.From, e.Message)
+		s.handleLoan(now, e.From, e.Message)
 	}
 	return s.actions
 }
 
-// Settled tells whether every loan of a former incarnation has ended.
+// Settled reports whether every loan of a previous incarnation has expired.
 func (s *State) Settled(now time.Time) bool {
-	return !now.Before(s.started.Add(s.timing.LentLife()))
+	return !now.Before(s.started.Add(s.timing.LenderTerm()))
 }
 
 func (s *State) configure(now time.Time, limits []Limit) {
 	kept := make(map[Kind]*entry, len(limits))
-	s.order = s.order[:0]
+	s.kinds = s.kinds[:0]
 	for _, l := range limits {
 		e := s.entries[l.Kind]
 		if e == nil {
 			e = &entry{lendings: map[string]*lending{}, borrowings: map[string]*borrowing{}}
-			e.set.Base.Rate = -1 // differs from every share, so that the first is set
+			e.published.Base.Rate = -1 // never equals a share, so the first one is published
 		}
 		e.configure(now, s, l)
 		kept[l.Kind] = e
-		s.order = append(s.order, l.Kind)
+		s.kinds = append(s.kinds, l.Kind)
 	}
 	for kind := range s.entries {
 		if kept[kind] == nil {
@@ -106,42 +109,44 @@
 		}
 	}
 	s.entries = kept
-	sort.Slice(s.order, func(i, j int) bool {
-		a, b := s.order[i], s.order[j]
+	sort.Slice(s.kinds, func(i, j int) bool {
+		a, b := s.kinds[i], s.kinds[j]
 		return a.Customer < b.Customer || (a.Customer == b.Customer && a.Name < b.Name)
 	})
-	for _, kind := range s.order {
-		s.update(now, kind)
+	for _, kind := range s.kinds {
+		s.publishShare(now, kind)
 	}
 }
 
-// configure takes a limit over. A lower entitlement is in force at once. A
-// higher one waits after the members changed: a VM that has not seen the change
-// may still use what is now entitled here.
+// configure applies a limit. A lower entitlement takes effect at once. After a
+// change of members a higher one is delayed, because a VM that has not seen the
+// change may still use the capacity that now belongs to this VM.
 func (e *entry) configure(now time.Time, s *State, l Limit) {
 	changed := !slices.Equal(e.limit.Members, l.Members)
 	first := len(e.limit.Members) == 0
 	e.limit = l
-	e.target = l.Part(slices.Index(l.Members, s.vm), len(l.Members))
+	e.entitled = l.Part(slices.Index(l.Members, s.vm), len(l.Members))
 	if changed {
-		e.since = now
-		e.rateAt = now.Add(s.timing.LentLife())
-		e.restart = first && !s.Settled(now)
-		if e.restart {
-			// No list was known before: only loans of a former incarnation of
-			// this VM may be out, and they end a lease after the start.
-			e.rateAt = s.started.Add(s.timing.LentLife())
+		e.membersChangedAt = now
+		e.rateIncreaseAt = now.Add(s.timing.LenderTerm())
+		e.restarting = first && !s.Settled(now)
+		if e.restarting {
+			// This is the first list of the process: only loans of a previous
+			// incarnation of this VM can be outstanding, and they expire one
+			// LenderTerm after the start.
+			e.rateIncreaseAt = s.started.Add(s.timing.LenderTerm())
 		}
-		e.concurrencyAt = e.rateAt.Add(e.hold())
-		e.dropOthers(s.vm)
+		e.concurrencyIncreaseAt = e.rateIncreaseAt.Add(e.drainTime())
+		e.dropNonMembers(s.vm)
 	}
-	e.inForce = e.inForce.min(e.target)
-	e.raise(now)
+	e.effective = e.effective.min(e.entitled)
+	e.applyIncreases(now)
 }
 
-// dropOthers forgets the VMs that are no members any more, and all of them when
-// this VM is none. What was lent to them stays counted until it ends.
-func (e *entry) dropOthers(self string) {
+// dropNonMembers discards borrowings from VMs that left the list, or all of
+// them when this VM left it, and clears the requests of VMs that left.
+// Outstanding loans stay counted until they expire.
+func (e *entry) dropNonMembers(self string) {
 	member := slices.Contains(e.limit.Members, self)
 	for vm := range e.borrowings {
 		if !member || !slices.Contains(e.limit.Members, vm) {
@@ -155,77 +160,81 @@
 	}
 }
 
-// hold is how long requests may still run after their share was withdrawn.
-func (e *entry) hold() time.Duration {
-	return e.limit.Hold + time.Duration(2*MaxDrift*float64(e.limit.Hold)) + margin
+// drainTime is how long requests may keep running after their share was
+// withdrawn.
+func (e *entry) drainTime() time.Duration {
+	return e.limit.Hold + time.Duration(2*MaxClockDrift*float64(e.limit.Hold)) + safetyMargin
 }
 
-// lendsConcurrency tells whether the kind's requests are short enough.
+// lendsConcurrency reports whether the kind's requests are short enough to lend
+// concurrency.
 func (e *entry) lendsConcurrency() bool {
-	return e.limit.Hold <= MaxHold
+	return e.limit.Hold <= MaxLendableDuration
 }
 
-func (e *entry) raise(now time.Time) {
-	if !now.Before(e.rateAt) {
-		e.inForce.Rate = e.target.Rate
-		e.inForce.Burst = e.target.Burst
-		if e.restart {
-			// Never lent, so no former incarnation's loan can cover it.
-			e.inForce.Concurrency = max(e.inForce.Concurrency, e.floor().Concurrency)
+func (e *entry) applyIncreases(now time.Time) {
+	if !now.Before(e.rateIncreaseAt) {
+		e.effective.Rate = e.entitled.Rate
+		e.effective.Burst = e.entitled.Burst
+		if e.restarting {
+			// The reserved part is never lent, so no loan of a previous
+			// incarnation can overlap with it.
+			e.effective.Concurrency = max(e.effective.Concurrency, e.reserved().Concurrency)
 		}
 	}
-	if !now.Before(e.concurrencyAt) {
-		e.inForce.Concurrency = e.target.Concurrency
+	if !now.Before(e.concurrencyIncreaseAt) {
+		e.effective.Concurrency = e.entitled.Concurrency
 	}
 }
 
-// floor is the part of the entitlement that is never lent: a caller that comes
-// to a VM after a pause is let in at once.
-func (e *entry) floor() Amount {
-	f := Amount{Rate: e.target.Rate * minRatePart, Burst: min(1, e.target.Burst), Concurrency: min(1, e.target.Concurrency)}
+// reserved is the part of the entitlement that is never lent, so that the first
+// request after an idle period is admitted at once.
+func (e *entry) reserved() Amount {
+	f := Amount{Rate: e.entitled.Rate * minRetainedRate, Burst: min(1, e.entitled.Burst), Concurrency: min(1, e.entitled.Concurrency)}
 	if !e.lendsConcurrency() {
-		f.Concurrency = e.target.Concurrency
+		f.Concurrency = e.entitled.Concurrency
 	}
 	return f
 }
 
 func (s *State) tick(now time.Time, usage func(Kind) Usage) {
-	for _, kind := range s.order {
+	for _, kind := range s.kinds {
 		s.entries[kind].expire(now, s.timing.Lease)
-		s.entries[kind].raise(now)
-		s.update(now, kind)
+		s.entries[kind].applyIncreases(now)
+		s.publishShare(now, kind)
 	}
 	sent := 0
-	for range s.order {
-		if sent >= maxMessages {
+	for range s.kinds {
+		if sent >= maxMessagesPerTick {
 			return
 		}
-		s.cursor = (s.cursor + 1) % len(s.order)
-		kind := s.order[s.cursor]
-		sent += s.exchange(now, kind, usage(kind))
+		s.cursor = (s.cursor + 1) % len(s.kinds)
+		kind := s.kinds[s.cursor]
+		sent += s.exchangeLoans(now, kind, usage(kind))
 	}
 }
 
-// exchange lends and borrows for one kind and returns the messages sent.
-func (s *State) exchange(now time.Time, kind Kind, u Usage) int {
+// exchangeLoans lends and borrows for one kind and returns the number of
+// actions it added.
+func (s *State) exchangeLoans(now time.Time, kind Kind, u Usage) int {
 	e := s.entries[kind]
-	if e.target == (Amount{}) && len(e.lendings) == 0 {
+	if e.entitled == (Amount{}) && len(e.lendings) == 0 {
 		return 0
 	}
-	need := e.need(u)
+	need := e.demand(u)
 	before := len(s.actions)
-	loans := s.lend(now, e, need, u)
-	s.update(now, kind)
+	loans := s.grantLoans(now, e, need, u)
+	s.publishShare(now, kind)
 	for _, l := range loans {
 		s.actions = append(s.actions, l)
 	}
-	s.ask(now, e, need, u.Running)
+	s.requestLoans(now, e, need, u.Running)
 	return len(s.actions) - before
 }
 
-// need is the part of the whole limit that the usage calls for.
-func (e *entry) need(u Usage) Amount {
-	a := Amount{Rate: u.Rate * headroom, Concurrency: u.Concurrency}
+// demand estimates the part of the whole limit that the usage requires.
+func (e *entry) demand(u Usage) Amount {
+	a := Amount{Rate: u.Rate * demandHeadroom, Concurrency: u.Concurrency}
 	if a.Rate > 0 && e.limit.Rate > 0 {
 		part := a.Rate / e.limit.Rate
 		a.Burst = max(1, ceil(part*float64(e.limit.Burst)))
@@ -233,25 +242,26 @@
 	return a.min(e.limit.Amount)
 }
 
-// expire forgets loans that have ended on both sides.
+// expire removes loans that have expired at both the lender and the borrower.
 func (e *entry) expire(now time.Time, lease time.Duration) {
 	for vm, b := range e.borrowings {
-		// Kept for a lease more, so that its sequence refuses late copies.
+		// An expired borrowing is kept for two more leases: its sequence number
+		// rejects delayed duplicates.
 		if now.After(b.until.Add(2 * lease)) {
 			delete(e.borrowings, vm)
 		}
 	}
 	for vm, l := range e.lendings {
 		l.expire(now)
-		if len(l.grants) == 0 && now.Sub(l.askedAt) > 2*lease {
+		if len(l.grants) == 0 && now.Sub(l.requestedAt) > 2*lease {
 			delete(e.lendings, vm)
 		}
 	}
 }
 
-// share is what may be used now.
-func (e *entry) share(now time.Time) Share {
-	sh := Share{Base: e.inForce.minus(e.charged(now))}
+// currentShare returns the capacity that may be used now.
+func (e *entry) currentShare(now time.Time) Share {
+	sh := Share{Base: e.effective.minus(e.outstanding(now))}
 	for _, b := range e.borrowings {
 		if now.Before(b.until) && b.amount != (Amount{}) {
 			sh.Loans = append(sh.Loans, Loan{Amount: b.amount, Until: b.until})
@@ -261,13 +271,13 @@
 	return sh
 }
 
-// update sets a kind's share if it changed.
-func (s *State) update(now time.Time, kind Kind) {
+// publishShare emits a Set action if the kind's share changed.
+func (s *State) publishShare(now time.Time, kind Kind) {
 	e := s.entries[kind]
-	sh := e.share(now)
-	if sh.Base == e.set.Base && slices.Equal(sh.Loans, e.set.Loans) {
+	sh := e.currentShare(now)
+	if sh.Base == e.published.Base && slices.Equal(sh.Loans, e.published.Loans) {
 		return
 	}
-	e.set = sh
+	e.published = sh
 	s.actions = append(s.actions, Set{Kind: kind, Share: sh})
 }
