--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,7 +1,8 @@
 // Package admission decides whether a caller's request may start, before any
-// work is spent on it: its rate and concurrency within this VM's share of the
-// contract, its customer's part of what this VM can hold, and whether the time
-// it brings can suffice. It is pure: time is handed in.
+// work is spent on it. It checks the deadline against recent latencies, the
+// rate and concurrency against this VM's share of the contract, and the
+// customer's part of the VM's capacity. The package is pure: callers pass the
+// time in.
 package admission
 
 import (
@@ -14,171 +15,182 @@
 )
 
 const (
-	// burstSeconds of the rate may start at once after a pause.
-	burstSeconds = 0.5
-	// shortestQuantile of the answer times is the least a caller's own deadline
-	// must leave: nine of ten answers took longer.
-	shortestQuantile = 0.1
-	// enoughAnswers must have been seen lately before a deadline is judged.
-	enoughAnswers = 20
-	// bucketWidth is by how much a quantile may be read too high.
-	bucketWidth = 1.2
-	// probeEvery request with a shorter deadline is let in all the same, as
-	// otherwise a kind that got faster would never be seen to.
+	// burstWindowSeconds is the period whose requests, at the contracted rate,
+	// may start at once after an idle period.
+	burstWindowSeconds = 0.5
+	// minDeadlineQuantile is the latency quantile that a caller's own deadline
+	// must reach: nine of ten answers take longer.
+	minDeadlineQuantile = 0.1
+	// minLatencySamples is the number of recent answers needed before a
+	// deadline is checked against them.
+	minLatencySamples = 20
+	// quantileError is the factor by which the tracker may overestimate a
+	// quantile.
+	quantileError = 1.2
+	// probeEvery is the interval, in requests with too short a deadline, at
+	// which one is admitted all the same. Without these probes the VM could not
+	// detect that a kind became faster.
 	probeEvery = 20
-	// shortestRetry is the least time a refused caller is asked to wait.
-	shortestRetry = 5 * time.Millisecond
-	// overloadRetry is when a caller may come back to a VM without room.
-	overloadRetry = 500 * time.Millisecond
+	// minRetryAfter is the shortest retry delay in a refusal.
+	minRetryAfter = 5 * time.Millisecond
+	// overloadRetryAfter is the retry delay in a refusal by a VM without
+	// capacity.
+	overloadRetryAfter = 500 * time.Millisecond
 )
 
-// LimitOf is the whole limit of a kind. A kind that was idle may start as many
-// requests at once as its concurrency holds, or half a second of its rate.
+// LimitOf returns the whole limit of a kind. After an idle period a kind may
+// start as many requests at once as its concurrency, or half a second of its
+// rate, whichever is more.
 func LimitOf(k *contract.Kind) share.Amount {
 	return share.Amount{
 		Rate:        k.RatePerSecond,
-		Burst:       max(int(k.Concurrency), int(k.RatePerSecond*burstSeconds)),
+		Burst:       max(int(k.Concurrency), int(k.RatePerSecond*burstWindowSeconds)),
 		Concurrency: int(k.Concurrency),
 	}
 }
 
-// Controller counts the requests of every customer and kind. It is not safe for
+// Controller tracks the requests of every customer and kind. It is not safe for
 // concurrent use.
 type Controller struct {
-	room     room
-	counters map[share.Kind]*counter
+	capacity capacity
+	kinds    map[share.Kind]*kindState
 }
 
-// counter is one kind.
-type counter struct {
-	bucket    bucket
-	running   int
-	latency   latency.Tracker
-	tooShort  int
-	arrivals  arrivals
-	peak      int
-	noSlot    int
-	wantSlots float64
+// kindState is the state of one kind.
+type kindState struct {
+	bucket         bucket
+	running        int
+	latency        latency.Tracker
+	shortDeadlines int
+	arrivals       arrivalRate
+	peakRunning    int
+	slotRefusals   int
+	slotDemand     float64
 }
 
-// New admits at most maxRunning requests at a time, over all customers.
+// New returns a Controller that admits at most maxRunning concurrent requests
+// over all customers.
 func New(maxRunning int) *Controller {
-	return &Controller{room: newRoom(maxRunning), counters: map[share.Kind]*counter{}}
+	return &Controller{capacity: newCapacity(maxRunning), kinds: map[share.Kind]*kindState{}}
 }
 
-// SetWeights says which customers this VM serves and divides its room.
+// SetWeights sets the customers that this VM serves and divides its capacity
+// between them by weight.
 func (c *Controller) SetWeights(weights map[string]int) {
-	c.room.setWeights(weights)
+	c.capacity.setWeights(weights)
 }
 
-// SetShare puts a kind's share in force at now.
+// SetShare puts a kind's share into effect at now.
 func (c *Controller) SetShare(now time.Time, kind share.Kind, s share.Share) {
-	c.counter(kind).bucket.set(now, s)
+	c.state(kind).bucket.set(now, s)
 }
 
-// Remove forgets a kind without a share, unless a request of it runs.
+// Remove discards the state of a kind unless requests of it are running.
 func (c *Controller) Remove(kind share.Kind) {
-	if n := c.counters[kind]; n != nil && n.running == 0 {
-		delete(c.counters, kind)
+	if state := c.kinds[kind]; state != nil && state.running == 0 {
+		delete(c.kinds, kind)
 	}
 }
 
-// Admit starts a request or says why it may not start. Budget is the time the
-// caller gives it. A request that was admitted must be ended by Done. A refusal
-// uses up nothing: the token of the rate is taken last.
+// Admit starts a request or returns why it may not start. Budget is the time
+// left until the caller's deadline. Every admitted request must be ended with
+// Done. A refused request consumes no capacity: the rate token is taken last.
 func (c *Controller) Admit(now time.Time, k *contract.Kind, budget time.Duration) *refusal.Error {
-	n := c.counter(KindOf(k))
-	n.arrivals.count++
-	if need, ok := n.outOfTime(now, k, budget); ok {
+	state := c.state(KindOf(k))
+	state.arrivals.count++
+	if need, ok := state.deadlineTooShort(now, k, budget); ok {
 		return refusal.New(refusal.DeadlineTooShort, "answers of this kind lately took at least "+need.String()).After(need)
 	}
-	if n.running >= n.bucket.share.At(now).Concurrency {
-		n.noSlot++
-		return refusal.New(refusal.ConcurrencyLimit, "too many requests of this kind are running").After(n.typical(k))
+	if state.running >= state.bucket.share.At(now).Concurrency {
+		state.slotRefusals++
+		return refusal.New(refusal.ConcurrencyLimit, "too many requests of this kind are running").After(state.expectedSlotWait(k))
 	}
-	if !c.room.admits(k.Customer, k.Priority) {
-		return refusal.New(refusal.Overloaded, "this VM has no room for another query of this customer").After(overloadRetry)
+	if !c.capacity.admits(k.Customer, k.Priority) {
+		return refusal.New(refusal.Overloaded, "this VM has no room for another query of this customer").After(overloadRetryAfter)
 	}
-	if wait, ok := n.bucket.take(now); !ok {
-		return refusal.New(refusal.RateLimit, "the contracted rate of this kind is used up").After(max(wait, shortestRetry))
+	if wait, ok := state.bucket.take(now); !ok {
+		return refusal.New(refusal.RateLimit, "the contracted rate of this kind is used up").After(max(wait, minRetryAfter))
 	}
-	n.running++
-	n.peak = max(n.peak, n.running)
-	c.room.add(k.Customer, 1)
+	state.running++
+	state.peakRunning = max(state.peakRunning, state.running)
+	c.capacity.add(k.Customer, 1)
 	return nil
 }
 
-// Done ends an admitted request. Took counts when the request was answered.
+// Done ends an admitted request. The latency took is recorded only if the
+// request was answered.
 func (c *Controller) Done(now time.Time, k *contract.Kind, took time.Duration, answered bool) {
-	n := c.counter(KindOf(k))
-	n.running--
-	c.room.add(k.Customer, -1)
+	state := c.state(KindOf(k))
+	state.running--
+	c.capacity.add(k.Customer, -1)
 	if answered {
-		n.latency.Observe(now, took)
+		state.latency.Observe(now, took)
 	}
 }
 
-// Running is the number of admitted requests.
+// Running returns the number of admitted requests in progress.
 func (c *Controller) Running() int {
-	return c.room.running
+	return c.capacity.running
 }
 
-// Usage is what a kind needed since it was last asked for.
+// Usage returns the demand of a kind since the previous call.
 func (c *Controller) Usage(now time.Time, kind share.Kind) share.Usage {
-	n := c.counter(kind)
-	want := float64(n.peak)
-	if n.noSlot > 0 {
-		// How many more would have run at a time is not known: at most double.
-		want += float64(min(n.noSlot, n.peak+1))
+	state := c.state(kind)
+	want := float64(state.peakRunning)
+	if state.slotRefusals > 0 {
+		// The concurrency of the refused requests is unknown. The estimate at
+		// most doubles the peak and adds one.
+		want += float64(min(state.slotRefusals, state.peakRunning+1))
 	}
-	n.wantSlots = max(want, n.wantSlots*usageDecay)
-	n.peak, n.noSlot = n.running, 0
+	state.slotDemand = max(want, state.slotDemand*slotDemandDecay)
+	state.peakRunning, state.slotRefusals = state.running, 0
 	return share.Usage{
-		Rate:        n.arrivals.rate(now),
-		Concurrency: int(n.wantSlots + 0.5),
-		Running:     n.running,
-		Ready:       n.bucket.ready(now),
+		Rate:        state.arrivals.rate(now),
+		Concurrency: int(state.slotDemand + 0.5),
+		Running:     state.running,
+		Ready:       state.bucket.ready(now),
 	}
 }
 
-// Ready tells whether the rate would let a request in at now.
+// Ready reports whether the rate admits a request at now.
 func (c *Controller) Ready(now time.Time, kind share.Kind) bool {
-	return c.counter(kind).bucket.ready(now)
+	return c.state(kind).bucket.ready(now)
 }
 
-// KindOf is the key of a contract's kind.
+// KindOf returns the key of a contract's kind.
 func KindOf(k *contract.Kind) share.Kind {
 	return share.Kind{Customer: k.Customer, Name: k.Name}
 }
 
-func (c *Controller) counter(kind share.Kind) *counter {
-	n := c.counters[kind]
-	if n == nil {
-		n = &counter{}
-		c.counters[kind] = n
+func (c *Controller) state(kind share.Kind) *kindState {
+	state := c.kinds[kind]
+	if state == nil {
+		state = &kindState{}
+		c.kinds[kind] = state
 	}
-	return n
+	return state
 }
 
-// outOfTime tells whether a deadline shorter than the contract's is below what
-// nearly all answers take.
-func (n *counter) outOfTime(now time.Time, k *contract.Kind, budget time.Duration) (time.Duration, bool) {
-	if budget >= k.Deadline() || n.latency.Weight(now) < enoughAnswers {
+// deadlineTooShort reports whether a deadline shorter than the contract's is
+// less than nearly all answers take, and returns the time they need. Every
+// probeEvery-th such request passes as a probe.
+func (s *kindState) deadlineTooShort(now time.Time, k *contract.Kind, budget time.Duration) (time.Duration, bool) {
+	if budget >= k.Deadline() || s.latency.Weight(now) < minLatencySamples {
 		return 0, false
 	}
-	need := time.Duration(float64(n.latency.Quantile(shortestQuantile)) / bucketWidth)
+	need := time.Duration(float64(s.latency.Quantile(minDeadlineQuantile)) / quantileError)
 	if budget >= need {
 		return 0, false
 	}
-	n.tooShort++
-	return need, n.tooShort%probeEvery != 0
+	s.shortDeadlines++
+	return need, s.shortDeadlines%probeEvery != 0
 }
 
-// typical is the time in which a running request makes room.
-func (n *counter) typical(k *contract.Kind) time.Duration {
-	d := n.latency.Quantile(0.5)
+// expectedSlotWait estimates when one of the running requests frees its slot.
+func (s *kindState) expectedSlotWait(k *contract.Kind) time.Duration {
+	d := s.latency.Quantile(0.5)
 	if d == 0 {
 		d = k.Deadline() / 2
 	}
-	return max(d/time.Duration(max(1, n.running)), shortestRetry)
+	return max(d/time.Duration(max(1, s.running)), minRetryAfter)
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -30,15 +30,15 @@
 	return &contract.Kind{Customer: customer, Kind: &pb.Kind{Name: "search", Priority: p, DeadlineMs: 1000, RatePerSecond: 100, Concurrency: 50}}
 }
 
-// plenty lets in everything that the room of the VM allows.
-func plenty(c *admission.Controller, now time.Time, kinds ...*contract.Kind) {
+// setUnlimitedShares leaves the capacity of the VM as the only limit.
+func setUnlimitedShares(c *admission.Controller, now time.Time, kinds ...*contract.Kind) {
 	for _, k := range kinds {
 		c.SetShare(now, admission.KindOf(k), share.Share{Base: share.Amount{Rate: 1e6, Burst: 1e6, Concurrency: 1e6}})
 	}
 }
 
-// fill admits until the first refusal and returns how many were let in.
-func fill(c *admission.Controller, now time.Time, k *contract.Kind) (int, *refusal.Error) {
+// admitUntilRefused returns the number of admitted requests and the refusal.
+func admitUntilRefused(c *admission.Controller, now time.Time, k *contract.Kind) (int, *refusal.Error) {
 	for n := 0; ; n++ {
 		if err := c.Admit(now, k, k.Deadline()); err != nil {
 			return n, err
@@ -46,68 +46,68 @@
 	}
 }
 
-func TestRefusalsAreTypedAndSayWhenToComeBack(t *testing.T) {
+func TestRefusalsCarryReasonAndRetryDelay(t *testing.T) {
 	k := kind("c", pb.Priority_NORMAL)
 	now := epoch.Add(time.Minute)
 	rows := []struct {
-		name   string
-		share  share.Share
-		let    int
-		reason refusal.Reason
-		after  time.Duration
+		name     string
+		share    share.Share
+		admitted int
+		reason   refusal.Reason
+		after    time.Duration
 	}{
 		{"rate", share.Share{Base: share.Amount{Rate: 10, Burst: 3, Concurrency: 50}}, 3, refusal.RateLimit, 100 * time.Millisecond},
 		{"concurrency", share.Share{Base: share.Amount{Rate: 10, Burst: 30, Concurrency: 4}}, 4, refusal.ConcurrencyLimit, 125 * time.Millisecond},
-		{"no rate here", share.Share{Base: share.Amount{Concurrency: 4}}, 0, refusal.RateLimit, 250 * time.Millisecond},
-		{"no concurrency here", share.Share{Base: share.Amount{Rate: 10, Burst: 3}}, 0, refusal.ConcurrencyLimit, 500 * time.Millisecond},
+		{"share without rate", share.Share{Base: share.Amount{Concurrency: 4}}, 0, refusal.RateLimit, 250 * time.Millisecond},
+		{"share without concurrency", share.Share{Base: share.Amount{Rate: 10, Burst: 3}}, 0, refusal.ConcurrencyLimit, 500 * time.Millisecond},
 	}
 	for _, r := range rows {
 		t.Run(r.name, func(t *testing.T) {
 			g := NewWithT(t)
 			c := admission.New(100)
 			c.SetShare(epoch, admission.KindOf(k), r.share)
-			n, err := fill(c, now, k)
-			g.Expect(n).To(Equal(r.let))
+			n, err := admitUntilRefused(c, now, k)
+			g.Expect(n).To(Equal(r.admitted))
 			g.Expect(err.Reason).To(Equal(r.reason))
 			g.Expect(err.Ran).To(Equal(refusal.NotRun))
 			g.Expect(err.RetryAfter).To(BeNumerically("~", r.after, time.Millisecond))
-			g.Expect(c.Running()).To(Equal(r.let))
+			g.Expect(c.Running()).To(Equal(r.admitted))
 		})
 	}
 }
 
-// Symptom: a VM that was paused starts requests on a share it has lost.
-// Sequence: a loan of burst and rate ends while nobody looks; then requests come.
-// Cause: a bucket that is filled by the rate of now for all the time before.
-func TestALoanThatEndedUnseenLeavesNoTokens(t *testing.T) {
+// A VM that resumes from a pause must not start requests on a share it has
+// lost: a loan of burst and rate expires unobserved before the requests arrive.
+// A bucket that refills by the current rate for all the elapsed time would
+// fail.
+func TestExpiredLoanLeavesNoTokens(t *testing.T) {
 	k := kind("c", pb.Priority_NORMAL)
 	c := admission.New(1000)
 	c.SetShare(epoch, admission.KindOf(k), share.Share{
 		Base:  share.Amount{Rate: 1, Burst: 2, Concurrency: 500},
 		Loans: []share.Loan{{Amount: share.Amount{Rate: 100, Burst: 50}, Until: epoch.Add(time.Second)}},
 	})
-	n, _ := fill(c, epoch.Add(time.Second), k)
+	n, _ := admitUntilRefused(c, epoch.Add(time.Second), k)
 	NewWithT(t).Expect(n).To(Equal(2))
 }
 
-// Symptom: as above, for the rate alone.
-// Sequence: a loan of rate ends a second before the next request.
-// Cause: the rate of the loan counted up to the request.
-func TestALoanThatEndedUnseenFillsNoFurther(t *testing.T) {
+// The same for the rate alone: a loan of rate expires one second before the
+// next request, and must not refill the bucket up to that request.
+func TestExpiredLoanAddsNoTokens(t *testing.T) {
 	k := kind("c", pb.Priority_NORMAL)
 	c := admission.New(1000)
 	c.SetShare(epoch, admission.KindOf(k), share.Share{
 		Base:  share.Amount{Rate: 1, Burst: 500, Concurrency: 500},
 		Loans: []share.Loan{{Amount: share.Amount{Rate: 99}, Until: epoch.Add(time.Second)}},
 	})
-	n, _ := fill(c, epoch.Add(2*time.Second), k)
+	n, _ := admitUntilRefused(c, epoch.Add(2*time.Second), k)
 	NewWithT(t).Expect(n).To(Equal(101))
 }
 
-// Symptom: the buckets of the home VMs together let in more than the contract.
-// Sequence: shares of rate and burst move between VMs while requests come.
-// Cause: tokens that stay when the share that made them has moved.
-func TestBucketsTogetherKeepRateAndBurst(t *testing.T) {
+// The buckets of the home VMs together must not admit more than the contract
+// while shares of rate and burst move between VMs. They would if tokens
+// outlived the share that produced them.
+func TestBucketsTogetherKeepContractedRateAndBurst(t *testing.T) {
 	k := kind("c", pb.Priority_NORMAL)
 	rapid.Check(t, func(t *rapid.T) {
 		limit := share.Amount{Rate: 100, Burst: 50, Concurrency: 1e6}
@@ -120,7 +120,7 @@
 			vms[1].SetShare(now, admission.KindOf(k), share.Share{Base: share.Amount{Rate: limit.Rate * (1 - part), Burst: limit.Burst - burst, Concurrency: 1e6}})
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "requests") {
-				n, _ := fill(vms[rapid.IntRange(0, 1).Draw(t, "vm")], now, k)
+				n, _ := admitUntilRefused(vms[rapid.IntRange(0, 1).Draw(t, "vm")], now, k)
 				admitted += n
 			}
 			if most := limit.Rate*now.Sub(epoch).Seconds() + float64(limit.Burst); float64(admitted) > most+1e-6 {
@@ -130,32 +130,32 @@
 	})
 }
 
-// Symptom: one customer's load keeps another's requests out of a VM.
-// Sequence: two customers fill all they can; then another one comes.
-// Cause: room given to whoever comes first.
-func TestACustomerBelowItsPartIsAlwaysLetIn(t *testing.T) {
+// One customer's load must not keep another's requests out: two customers use
+// all the capacity they can before a third arrives. First-come allocation would
+// fail.
+func TestCustomerBelowReservedPartIsAdmitted(t *testing.T) {
 	g := NewWithT(t)
 	loud, quiet := kind("loud", pb.Priority_HIGH), kind("quiet", pb.Priority_LOW)
 	other := kind("other", pb.Priority_HIGH)
 	c := admission.New(100)
 	c.SetWeights(map[string]int{"loud": 1, "quiet": 4})
-	plenty(c, epoch, loud, quiet, other)
+	setUnlimitedShares(c, epoch, loud, quiet, other)
 	now := epoch.Add(time.Second)
-	first, err := fill(c, now, loud)
+	first, err := admitUntilRefused(c, now, loud)
 	g.Expect(err.Reason).To(Equal(refusal.Overloaded))
-	third, _ := fill(c, now, other)
-	second, _ := fill(c, now, quiet)
+	third, _ := admitUntilRefused(c, now, other)
+	second, _ := admitUntilRefused(c, now, quiet)
 	t.Logf("loud %d, other %d, quiet %d of 100", first, third, second)
 	g.Expect(second).To(BeNumerically(">=", 40))
 	g.Expect(c.Running()).To(BeNumerically("<=", 100))
 }
 
-func TestRoomIsNeverExceeded(t *testing.T) {
+func TestCapacityIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 200).Draw(t, "total")
 		c := admission.New(total)
 		kinds := []*contract.Kind{kind("a", pb.Priority_HIGH), kind("b", pb.Priority_NORMAL), kind("c", pb.Priority_LOW)}
-		plenty(c, epoch, kinds...)
+		setUnlimitedShares(c, epoch, kinds...)
 		now, running := epoch, map[string]int{}
 		for range 200 {
 			now = now.Add(time.Second)
@@ -174,37 +174,35 @@
 				}
 			}
 			if c.Running() > total {
-				t.Fatalf("%d run, room for %d", c.Running(), total)
+				t.Fatalf("%d requests run, the capacity is %d", c.Running(), total)
 			}
 		}
 	})
 }
 
-// Symptom: under overload requests of high priority wait behind low ones.
-// Sequence: the pool fills up; both priorities ask for more.
-// Cause: a pool that is blind to priority.
-func TestLowPriorityIsTurnedAwayFirst(t *testing.T) {
+// Under overload, requests of low priority must be refused before those of high
+// priority. A pool that ignores priority would fail.
+func TestLowPriorityIsRefusedFirst(t *testing.T) {
 	g := NewWithT(t)
-	let := map[pb.Priority]int{}
+	admitted := map[pb.Priority]int{}
 	for _, p := range []pb.Priority{pb.Priority_LOW, pb.Priority_NORMAL, pb.Priority_HIGH} {
 		c := admission.New(100)
 		k := kind("c", p)
-		plenty(c, epoch, k)
-		let[p], _ = fill(c, epoch.Add(time.Second), k)
+		setUnlimitedShares(c, epoch, k)
+		admitted[p], _ = admitUntilRefused(c, epoch.Add(time.Second), k)
 	}
-	t.Logf("let in by priority: %v", let)
-	g.Expect(let[pb.Priority_LOW]).To(BeNumerically("<", let[pb.Priority_NORMAL]))
-	g.Expect(let[pb.Priority_NORMAL]).To(BeNumerically("<", let[pb.Priority_HIGH]))
+	t.Logf("admitted by priority: %v", admitted)
+	g.Expect(admitted[pb.Priority_LOW]).To(BeNumerically("<", admitted[pb.Priority_NORMAL]))
+	g.Expect(admitted[pb.Priority_NORMAL]).To(BeNumerically("<", admitted[pb.Priority_HIGH]))
 }
 
-// Symptom: requests that cannot be answered in time use up slots all the same.
-// Sequence: answers take 200 ms; a caller gives 50 ms.
-// Cause: a deadline that is looked at only after the work.
-func TestADeadlineThatCannotBeMetIsRefusedEarly(t *testing.T) {
+// Requests that cannot be answered in time must be refused before they use a
+// slot: answers take 200 ms and the caller allows 50 ms.
+func TestUnattainableDeadlineIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	k := kind("c", pb.Priority_NORMAL)
 	c := admission.New(100)
-	plenty(c, epoch, k)
+	setUnlimitedShares(c, epoch, k)
 	now := epoch.Add(time.Second)
 	g.Expect(c.Admit(now, k, 50*time.Millisecond)).To(BeNil())
 	c.Done(now, k, 0, false)
@@ -212,21 +210,22 @@
 		g.Expect(c.Admit(now, k, k.Deadline())).To(BeNil())
 		c.Done(now, k, 200*time.Millisecond, true)
 	}
-	let := 0
+	admitted := 0
 	for range 100 {
 		if err := c.Admit(now, k, 50*time.Millisecond); err != nil {
 			g.Expect(err.Reason).To(Equal(refusal.DeadlineTooShort))
 			continue
 		}
 		c.Done(now, k, 0, false)
-		let++
+		admitted++
 	}
-	// A few find out whether the kind got faster.
-	g.Expect(let).To(Equal(5))
+	// One in probeEvery (20) is admitted to detect whether the kind became
+	// faster.
+	g.Expect(admitted).To(Equal(5))
 	g.Expect(c.Admit(now, k, k.Deadline())).To(BeNil())
 }
 
-// BenchmarkRefuse is the cost of a request that is turned away.
+// BenchmarkRefuse measures a refused request.
 func BenchmarkRefuse(b *testing.B) {
 	k := kind("c", pb.Priority_NORMAL)
 	c := admission.New(100)
@@ -242,11 +241,11 @@
 	}
 }
 
-// BenchmarkAdmit is the cost of a request that is let in and ends.
+// BenchmarkAdmit measures a request that is admitted and ends.
 func BenchmarkAdmit(b *testing.B) {
 	k := kind("c", pb.Priority_NORMAL)
 	c := admission.New(100)
-	plenty(c, epoch, k)
+	setUnlimitedShares(c, epoch, k)
 	now := epoch.Add(time.Second)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/admission/bucket.go
+++ b/internal/admission/bucket.go
@@ -7,38 +7,40 @@
 	"sycamorekeel.example/sycamorekeel/internal/share"
 )
 
-// bucket holds the tokens of one kind. Unlike the usual limiter its rate and
-// size fall at the moment a loan ends, also when nobody looks at that moment:
-// else a VM that was paused would start requests on a share it has lost.
+// bucket is the token bucket of one kind. Unlike a usual limiter, its rate and
+// size fall at the moment a loan expires, even if no call happens at that
+// moment. Otherwise a VM that resumes from a pause would start requests on a
+// share it has lost.
 type bucket struct {
-	share  share.Share
-	tokens float64
-	last   time.Time
+	share     share.Share
+	tokens    float64
+	updatedAt time.Time
 }
 
-// emptyRetry is when a caller may come back to a VM that holds no rate: by then
-// it may have borrowed some.
-const emptyRetry = 250 * time.Millisecond
+// emptyShareRetryAfter is the retry delay in a refusal by a VM that holds no
+// rate. The VM may borrow some within that time.
+const emptyShareRetryAfter = 250 * time.Millisecond
 
-// almostOne token is enough: sums of small parts come out just below 1.
-const almostOne = 1 - 1e-9
+// tokenThreshold is the fill level that counts as one token: sums of small
+// fractions come out just below 1.
+const tokenThreshold = 1 - 1e-9
 
-// set puts a share in force at now. Tokens above its size are lost, and a
-// larger size starts empty: so the tokens of all VMs never exceed the burst of
-// the contract.
+// set puts a share into effect at now. Tokens above the new size are lost, and
+// added size starts empty, so the tokens of all VMs together never exceed the
+// burst of the contract.
 func (b *bucket) set(now time.Time, s share.Share) {
 	b.advance(now)
 	b.share = s
-	b.clamp(now)
+	b.limitTokens(now)
 }
 
-// ready tells whether there is a token.
+// ready reports whether a token is available.
 func (b *bucket) ready(now time.Time) bool {
 	b.advance(now)
-	return b.tokens >= almostOne
+	return b.tokens >= tokenThreshold
 }
 
-// take takes a token, or tells when there will be one.
+// take consumes a token, or returns the time until one is available.
 func (b *bucket) take(now time.Time) (time.Duration, bool) {
 	if b.ready(now) {
 		b.tokens = math.Max(0, b.tokens-1)
@@ -46,63 +48,66 @@
 	}
 	a := b.share.At(now)
 	if a.Burst < 1 || a.Rate <= 0 {
-		return emptyRetry, false
+		return emptyShareRetryAfter, false
 	}
 	return time.Duration((1 - b.tokens) / a.Rate * float64(time.Second)), false
 }
 
-// advance fills the bucket up to now, loan by loan.
+// advance refills the bucket up to now, in one step per expired loan.
 func (b *bucket) advance(now time.Time) {
-	for b.last.Before(now) {
-		next := b.nextChange(now)
-		b.tokens += b.share.At(b.last).Rate * next.Sub(b.last).Seconds()
-		b.clamp(b.last)
-		b.last = next
+	for b.updatedAt.Before(now) {
+		next := b.nextRateChange(now)
+		b.tokens += b.share.At(b.updatedAt).Rate * next.Sub(b.updatedAt).Seconds()
+		b.limitTokens(b.updatedAt)
+		b.updatedAt = next
 	}
-	b.clamp(now)
+	b.limitTokens(now)
 }
 
-// nextChange is the end of the next loan before now, or now.
-func (b *bucket) nextChange(now time.Time) time.Time {
+// nextRateChange returns the first expiry of a loan between updatedAt and now,
+// or now.
+func (b *bucket) nextRateChange(now time.Time) time.Time {
 	for _, l := range b.share.Loans {
-		if l.Until.After(b.last) && l.Until.Before(now) {
+		if l.Until.After(b.updatedAt) && l.Until.Before(now) {
 			return l.Until
 		}
 	}
 	return now
 }
 
-func (b *bucket) clamp(at time.Time) {
+func (b *bucket) limitTokens(at time.Time) {
 	b.tokens = math.Min(b.tokens, float64(b.share.At(at).Burst))
 }
 
 const (
-	// usageDecay is what remains of an earlier need after each look.
-	usageDecay = 0.75
-	// arrivalWeight of the newest look in the mean rate of arrivals.
+	// slotDemandDecay is the fraction of the previous slot demand that remains
+	// after each call of Usage.
+	slotDemandDecay = 0.75
+	// arrivalWeight is the weight of the newest interval in the mean arrival
+	// rate.
 	arrivalWeight = 0.5
 )
 
-// arrivals is the decaying mean rate of a kind's requests.
-type arrivals struct {
-	count int
-	mean  float64
-	last  time.Time
+// arrivalRate is an exponentially weighted mean of a kind's arrival rate.
+type arrivalRate struct {
+	count     int
+	mean      float64
+	updatedAt time.Time
 }
 
-// rate is the mean, in requests a second, with those counted since it was last
-// asked for.
-func (a *arrivals) rate(now time.Time) float64 {
-	if a.last.IsZero() {
-		a.last = now
+// rate returns the mean in requests per second, including the arrivals since
+// the previous call.
+func (a *arrivalRate) rate(now time.Time) float64 {
+	if a.updatedAt.IsZero() {
+		a.updatedAt = now
 	}
-	seconds := now.Sub(a.last).Seconds()
+	seconds := now.Sub(a.updatedAt).Seconds()
 	if seconds <= 0 {
 		return a.mean
 	}
 	a.mean += arrivalWeight * (float64(a.count)/seconds - a.mean)
 	a.count = 0
-	a.last = now
+	a.updatedAt = now
 	if a.mean < 1e-3 {
 		a.mean = 0
 	}
