--- a/internal/once/bench_test.go
+++ b/internal/once/bench_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// BenchmarkOperation is one operation from its key to its kept outcome, as
-// docs/CAPACITY.md needs it: time, and memory held per operation.
+// BenchmarkOperation measures the time and the retained memory of one operation
+// from its key to its stored outcome. docs/CAPACITY.md uses both figures.
 func BenchmarkOperation(b *testing.B) {
 	table := newTable("vm-1", 1)
 	lease := *table.Issue(0, "office")
 	digest := DigestOf("pay", []byte(`{"key":"royalty-17"}`))
-	before := heap()
+	before := heapBytes()
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
@@ -22,11 +22,12 @@
 		table.Finish(0, "office", key, "", true)
 	}
 	b.StopTimer()
-	b.ReportMetric(float64(heap()-before)/float64(b.N), "held-B/op")
+	b.ReportMetric(float64(heapBytes()-before)/float64(b.N), "held-B/op")
 	runtime.KeepAlive(table)
 }
 
-// BenchmarkParseKey is what every keyed request costs before any decision.
+// BenchmarkParseKey measures the cost of a request with a key before any
+// decision.
 func BenchmarkParseKey(b *testing.B) {
 	table := newTable("vm-1", 1)
 	text := (&Key{Lease: *table.Issue(0, "office"), Counter: 12}).String()
@@ -38,7 +39,7 @@
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/once/fuzz_test.go
+++ b/internal/once/fuzz_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// FuzzParseKey: a text is refused, or it is the one text of its key.
+// FuzzParseKey checks that a text is either rejected or equal to the canonical
+// text of the parsed key.
 func FuzzParseKey(f *testing.F) {
 	table := newTable("vm-1", 1)
 	lease := table.Issue(0, "office")
--- a/internal/once/lease.go
+++ b/internal/once/lease.go
@@ -1,7 +1,8 @@
-// Package once decides whether a non-idempotent request may run. It issues
-// operation leases, names operations within them, and keeps the first outcome of
-// every operation until its lease can no longer be used. It is pure: time and
-// the key are handed in, and it dispatches nothing.
+// Package once decides whether a non-idempotent request may run, so that each
+// operation runs at most once. It issues operation leases, parses the keys that
+// name operations within them, and keeps the first outcome of every operation
+// until its lease can no longer be used. The package is pure: callers pass in
+// the time and the secret, and dispatch the requests themselves.
 package once
 
 import (
@@ -17,39 +18,43 @@
 	"github.com/gravitational/trace"
 )
 
-// The text of a key is scheme~vm~incarnation~serial~expires~mac.counter. No VM
-// name holds the separator.
+// The text of a key is scheme~vm~incarnation~serial~expires~mac.counter. VM
+// names do not contain the separator.
 const (
 	scheme    = "op1"
 	separator = "~"
 	fields    = 6
 	hexBase   = 16
-	wordBits  = 64
-	// macSize in bytes is half of the hash: enough against guessing, and short.
+	uintBits  = 64
+	// macSize is half of the hash in bytes: long enough to prevent guessing,
+	// and it keeps keys short.
 	macSize = sha256.Size / 2
 )
 
-// MaxKeyLength is the most characters of a key.
+// MaxKeyLength is the maximum number of characters in a key.
 const MaxKeyLength = 200
 
-// KeySize is the least bytes of the secret that authenticates leases.
+// KeySize is the minimum number of bytes in the secret that authenticates
+// leases.
 const KeySize = 32
 
-// Lease lets one customer name operations that one incarnation of one VM will
-// run. Nothing is stored for it: the MAC proves that the incarnation issued it.
+// Lease lets one customer name operations that one incarnation of one VM runs.
+// Leases are not stored: the MAC proves that the incarnation issued them.
 type Lease struct {
 	VM          string
 	Incarnation uint64
 	// Serial is unique within the incarnation.
 	Serial uint64
-	// Expires is when new operations are no longer taken, in milliseconds since
-	// the incarnation started, on its own monotonic clock. No other VM reads it.
+	// Expires is when the lease stops accepting new operations, in milliseconds
+	// since the start of the incarnation by its own monotonic clock. Other VMs
+	// do not interpret it.
 	Expires uint64
 
 	mac [macSize]byte
 }
 
-// Prefix is the lease's text; an operation's key is prefix, full stop, counter.
+// Prefix returns the text of the lease. The key of an operation is the prefix,
+// a full stop and the counter.
 func (l *Lease) Prefix() string {
 	return strings.Join([]string{
 		scheme,
@@ -65,41 +70,43 @@
 	return time.Duration(l.Expires) * time.Millisecond
 }
 
-// Key names one operation of a lease.
+// Key identifies one operation of a lease.
 type Key struct {
 	Lease
 	Counter uint64
 }
 
-// String is the text a caller sends.
+// String returns the text that a caller sends.
 func (k *Key) String() string {
 	return k.Prefix() + "." + strconv.FormatUint(k.Counter, 10)
 }
 
-// ParseKey reads a key's text. Success says only that the text has the form of a
-// key: the MAC can be checked by the incarnation that issued it, nobody else.
+// ParseKey parses the text of a key. Success means only that the text is
+// well-formed: the MAC can be verified only by the incarnation that issued the
+// key.
 func ParseKey(text string) (*Key, error) {
 	if len(text) > MaxKeyLength {
 		return nil, trace.BadParameter("the key is longer than %d characters", MaxKeyLength)
 	}
 	parts := strings.Split(text, separator)
 	if len(parts) != fields || parts[0] != scheme || parts[1] == "" {
-		return nil, errForeign()
+		return nil, errNotOperationKey()
 	}
 	k := &Key{Lease: Lease{VM: parts[1]}}
 	mac, counter, _ := strings.Cut(parts[5], ".")
-	if !parseWords(k, parts, counter) || !parseMAC(k, mac) {
-		return nil, errForeign()
+	if !parseNumbers(k, parts, counter) || !parseMAC(k, mac) {
+		return nil, errNotOperationKey()
 	}
-	// One operation has one text. Were "01" and "1" the same counter, an
-	// operation could be looked up under one text and logged under another.
+	// Each operation has exactly one text. If "01" and "1" were the same
+	// counter, an operation could be looked up under one text and logged under
+	// another.
 	if k.String() != text {
-		return nil, errForeign()
+		return nil, errNotOperationKey()
 	}
 	return k, nil
 }
 
-func parseWords(k *Key, parts []string, counter string) bool {
+func parseNumbers(k *Key, parts []string, counter string) bool {
 	words := []struct {
 		to   *uint64
 		text string
@@ -111,7 +118,7 @@
 		{&k.Counter, counter, 10},
 	}
 	for _, w := range words {
-		v, err := strconv.ParseUint(w.text, w.base, wordBits)
+		v, err := strconv.ParseUint(w.text, w.base, uintBits)
 		if err != nil {
 			return false
 		}
@@ -129,38 +136,38 @@
 	return true
 }
 
-func errForeign() error {
+func errNotOperationKey() error {
 	return trace.BadParameter("the key is not one of an operation lease")
 }
 
-// issuer makes and verifies the leases of one incarnation.
+// issuer creates and verifies the leases of one incarnation.
 type issuer struct {
 	vm          string
 	incarnation uint64
 	secret      []byte
-	serial      uint64
+	lastSerial  uint64
 }
 
 func (i *issuer) issue(customer string, expires time.Duration) *Lease {
-	i.serial++
-	l := &Lease{VM: i.vm, Incarnation: i.incarnation, Serial: i.serial, Expires: uint64(expires.Milliseconds())}
-	l.mac = i.sum(customer, l)
+	i.lastSerial++
+	l := &Lease{VM: i.vm, Incarnation: i.incarnation, Serial: i.lastSerial, Expires: uint64(expires.Milliseconds())}
+	l.mac = i.computeMAC(customer, l)
 	return l
 }
 
-// verify is true for a lease of this incarnation that was issued to customer.
+// verify reports whether this incarnation issued the lease to the customer.
 func (i *issuer) verify(customer string, l *Lease) bool {
-	want := i.sum(customer, l)
-	return i.names(l) && subtle.ConstantTimeCompare(want[:], l.mac[:]) == 1
+	want := i.computeMAC(customer, l)
+	return i.issued(l) && subtle.ConstantTimeCompare(want[:], l.mac[:]) == 1
 }
 
-func (i *issuer) names(l *Lease) bool {
+func (i *issuer) issued(l *Lease) bool {
 	return l.VM == i.vm && l.Incarnation == i.incarnation
 }
 
-// sum covers the customer, which is not in the text: a key that one customer
-// hands to another does not verify there.
-func (i *issuer) sum(customer string, l *Lease) [macSize]byte {
+// computeMAC covers the customer, which is not part of the text: a key that one
+// customer passes to another does not verify for the other.
+func (i *issuer) computeMAC(customer string, l *Lease) [macSize]byte {
 	h := hmac.New(sha256.New, i.secret)
 	var word [8]byte
 	for _, v := range []uint64{l.Incarnation, l.Serial, l.Expires, uint64(len(l.VM))} {
--- a/internal/once/once_test.go
+++ b/internal/once/once_test.go
@@ -18,8 +18,8 @@
 	grace = 5 * time.Second
 )
 
-// TestMain fixes rapid's seed, so that every run draws the same events; the
-// flags -rapid.seed and -rapid.checks still draw others.
+// TestMain fixes rapid's seed, so that every run draws the same events. The
+// flags -rapid.seed and -rapid.checks override it.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "11", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -29,7 +29,7 @@
 	os.Exit(m.Run())
 }
 
-// reply is an outcome of a fixed size.
+// reply is an outcome whose size is its length.
 type reply string
 
 func (r reply) Size() int { return len(r) }
@@ -72,11 +72,10 @@
 	}
 }
 
-// Symptom: a customer, or another process, runs or reads the operations of a lease
-// that it was never given.
-// Sequence: the key is sent by another customer; or its expiry or serial is
-// edited; or it is sent to another incarnation with the same name.
-// Cause: a MAC that does not cover every field, the customer and the incarnation.
+// A customer or process must not run or read operations of a lease that was not
+// issued to it. The key is sent by another customer, with a changed expiry or
+// serial, or to another incarnation of the same VM. A MAC that does not cover
+// every field, the customer and the incarnation would fail.
 func TestForeignKeys(t *testing.T) {
 	g := NewWithT(t)
 	table := newTable("vm-1", 1)
@@ -95,8 +94,8 @@
 	g.Expect(begin(table, "office", key)).To(Equal(New))
 }
 
-// step is one event of a table test and the verdict wanted; at is in seconds.
-type step struct {
+// tableStep is one event and the wanted verdict; at is in seconds.
+type tableStep struct {
 	at      float64
 	counter uint64
 	body    string
@@ -108,35 +107,35 @@
 func TestTable(t *testing.T) {
 	cases := []struct {
 		name  string
-		steps []step
+		steps []tableStep
 	}{
-		{"a resend gets the first outcome", []step{
+		{"a resend gets the first outcome", []tableStep{
 			{1, 1, "a", "", New}, {2, 1, "a", "", Running}, {3, 1, "", "ran", 0}, {4, 1, "a", "", Known},
 		}},
-		{"the outcome is kept past the end of the lease", []step{
+		{"the outcome is kept past the end of the lease", []tableStep{
 			{9, 1, "a", "", New}, {9, 1, "", "ran", 0}, {14, 1, "a", "", Known}, {14, 2, "a", "", Expired}, {15, 1, "a", "", Forgotten},
 		}},
-		{"a refused operation stays refused", []step{
+		{"a refused operation stays refused", []tableStep{
 			{1, 1, "a", "", New}, {1, 1, "", "refused", 0}, {2, 1, "a", "", Known},
 		}},
-		{"an operation still running is never forgotten", []step{
+		{"a running operation is never removed", []tableStep{
 			{1, 1, "a", "", New}, {40, 1, "a", "", Running}, {41, 1, "", "ran", 0}, {42, 2, "a", "", Forgotten},
 		}},
-		{"another body under the same key", []step{
+		{"another body under the same key", []tableStep{
 			{1, 1, "a", "", New}, {1, 1, "b", "", Mismatch}, {2, 1, "", "ran", 0}, {3, 1, "b", "", Mismatch},
 		}},
-		{"no room for a fifth operation", []step{
+		{"a fifth operation exceeds the limit", []tableStep{
 			{1, 1, "a", "", New}, {1, 2, "a", "", New}, {1, 3, "a", "", New}, {1, 4, "a", "", New},
 			{1, 5, "a", "", Full}, {1, 1, "a", "", Running}, {1, 5, "a", "", Known},
 		}},
-		// Symptom: a request runs a second time after its lease has ended.
-		// Sequence: a handler reads the clock, its thread is paused; another one
-		// forgets the lease's operations; the first goes on with its old time.
-		// Cause: "expired" and "forgotten" judged by different clock readings.
-		{"a clock reading from before a pause", []step{
+		// A request must not run again after its lease has expired: a handler
+		// reads the clock and is paused, another one causes the operations of
+		// the lease to be removed, and the first continues with its old time.
+		// Expiry and removal must use the same clock reading.
+		{"a clock reading from before a pause", []tableStep{
 			{1, 1, "a", "", New}, {1, 1, "", "ran", 0}, {30, 2, "a", "", Forgotten}, {1, 1, "a", "", Forgotten},
 		}},
-		{"too many refusals close the lease", []step{
+		{"too many refusals close the lease", []tableStep{
 			{1, 1, "a", "", New}, {1, 1, "", "refused", 0}, {1, 2, "a", "", New}, {1, 2, "", "refused", 0},
 			{1, 3, "a", "", New}, {1, 3, "", "refused", 0}, {1, 4, "a", "", New}, {1, 4, "", "refused", 0},
 			{2, 1, "a", "", Closed}, {2, 4, "a", "", Closed}, {2, 9, "a", "", Closed},
@@ -165,25 +164,25 @@
 	}
 }
 
-// keyModel is what a caller has been told of one key.
+// keyModel is what the caller of one key has been answered.
 type keyModel struct {
 	key     *Key
 	started bool
 	ended   bool
-	// notRun says that some caller was told that it did not run.
+	// notRun is set once a caller was answered that the operation did not run.
 	notRun  bool
 	outcome reply
 }
 
-// machine drives a table with copies of requests in any order and at any time.
-type machine struct {
-	table *Table[reply]
-	now   time.Duration
-	keys  []*keyModel
-	room  int
+// tableModel sends copies of requests to a table in any order and at any time.
+type tableModel struct {
+	table         *Table[reply]
+	now           time.Duration
+	keys          []*keyModel
+	maxOperations int
 }
 
-func (m *machine) step(t *rapid.T) {
+func (m *tableModel) step(t *rapid.T) {
 	m.now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
 	switch {
 	case len(m.keys) == 0 || rapid.IntRange(0, 3).Draw(t, "what") == 0:
@@ -201,7 +200,7 @@
 	}
 }
 
-func (m *machine) finish(t *rapid.T, k *keyModel) {
+func (m *tableModel) finish(t *rapid.T, k *keyModel) {
 	ran := rapid.Bool().Draw(t, "ran")
 	k.ended = true
 	k.notRun = k.notRun || !ran
@@ -209,10 +208,10 @@
 	m.table.Finish(m.now, "office", k.key, k.outcome, ran)
 }
 
-func (m *machine) begin(t *rapid.T, k *keyModel) {
+func (m *tableModel) begin(t *rapid.T, k *keyModel) {
 	// Some copies carry a clock reading from before a pause.
 	stale := time.Duration(rapid.IntRange(0, 20_000).Draw(t, "stale")) * time.Millisecond
-	d := m.table.Begin(max(0, m.now-stale), "office", k.key, Digest{}, m.room)
+	d := m.table.Begin(max(0, m.now-stale), "office", k.key, Digest{}, m.maxOperations)
 	switch d.Verdict {
 	case New:
 		if k.started || k.notRun {
@@ -225,11 +224,11 @@
 		}
 	case Running:
 		if !k.started || k.ended {
-			t.Fatalf("said to run: started %v, ended %v", k.started, k.ended)
+			t.Fatalf("reported as running: started %v, ended %v", k.started, k.ended)
 		}
 	case Full, Expired, Closed:
 		if k.started && !k.notRun {
-			t.Fatalf("%s says not run, it ran", d.Verdict)
+			t.Fatalf("%s reports not run, but it ran", d.Verdict)
 		}
 		k.notRun = true
 		if d.Verdict == Full {
@@ -239,9 +238,9 @@
 	}
 }
 
-func (m *machine) check(t *rapid.T) {
+func (m *tableModel) check(t *rapid.T) {
 	operations, refused := m.table.Len("office")
-	if operations > m.room || refused > m.table.opts.MaxRefused {
+	if operations > m.maxOperations || refused > m.table.opts.MaxRefused {
 		t.Fatalf("%d operations and %d refusals are held", operations, refused)
 	}
 	if bytes := m.table.Bytes("office"); bytes < 0 || bytes > operations*len("outcome of 1") {
@@ -249,13 +248,13 @@
 	}
 }
 
-// Symptom: a request runs twice, or runs after "not run" was said of it.
-// Sequence: copies come in any order, before and after the end, the expiry, a
-// refusal, a full table and a pause.
-// Cause: any way in which the table forgets a key that it may still be asked for.
+// A request must not run twice, nor run after it was reported as not run.
+// Copies arrive in any order, before and after the end of the operation, the
+// expiry, a refusal, a full table and a pause. The table must not lose a key
+// that may still be used.
 func TestAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{table: newTable("vm-1", 1), room: 4}
+		m := &tableModel{table: newTable("vm-1", 1), maxOperations: 4}
 		for range 120 {
 			m.step(t)
 			m.check(t)
--- a/internal/once/table.go
+++ b/internal/once/table.go
@@ -5,31 +5,33 @@
 	"time"
 )
 
-// Verdict says what to do with a request that carries a key.
+// Verdict is the decision about a request that carries a key.
 type Verdict int
 
 // Verdicts of Table.Begin.
 const (
-	// New: run it, then call Finish.
+	// New: run the request, then call Finish.
 	New Verdict = iota + 1
-	// Known: it has run or was refused; Decision.Outcome is its first outcome.
+	// Known: the operation has run or was refused. Decision.Outcome is its
+	// first outcome.
 	Known
-	// Running: its first copy is under way; wait for the outcome.
+	// Running: the first copy is in progress. Wait for its outcome.
 	Running
-	// Foreign: the key is not one that this incarnation gave to the customer.
+	// Foreign: this incarnation did not issue the key to the customer.
 	Foreign
-	// Mismatch: the key was used for another request. This one did not run.
+	// Mismatch: the key was used for another request. This request did not run.
 	Mismatch
-	// Full: there is no room to remember another operation. It did not run, and
-	// the refusal is kept.
+	// Full: the table has no room for another operation. The operation did not
+	// run, and its refusal is kept.
 	Full
-	// Closed: the lease takes no new operations. This one did not run.
+	// Closed: the lease accepts no new operations, because too many were
+	// refused. This one did not run.
 	Closed
-	// Expired: the lease takes no new operations and the table still holds
-	// every operation of it. This one did not run.
+	// Expired: the lease has expired and the table still holds all of its
+	// operations. This one did not run.
 	Expired
-	// Forgotten: the lease is so old that its operations may have been
-	// forgotten. This one may have run.
+	// Forgotten: the lease expired so long ago that its operations may have
+	// been removed. This one may have run.
 	Forgotten
 )
 
@@ -37,10 +39,10 @@
 	return [...]string{"none", "new", "known", "running", "foreign", "mismatch", "full", "closed", "expired", "forgotten"}[v]
 }
 
-// Digest identifies what a key was used for.
+// Digest identifies the request that a key was used for.
 type Digest [sha256.Size]byte
 
-// DigestOf is the digest of a request of a kind.
+// DigestOf returns the digest of a request of the given kind.
 func DigestOf(kind string, body []byte) Digest {
 	h := sha256.New()
 	h.Write([]byte(kind))
@@ -49,42 +51,44 @@
 	return Digest(h.Sum(nil))
 }
 
-// Outcome is what a table keeps of an operation.
+// Outcome is the result that a table keeps for an operation.
 type Outcome interface {
-	// Size is about how many bytes it holds in memory.
+	// Size is the approximate number of bytes held in memory.
 	Size() int
 }
 
-// Options are the times and bounds of a table.
+// Options configure a Table.
 type Options struct {
 	VM          string
 	Incarnation uint64
-	// Secret is random, of at least KeySize bytes, and of this incarnation only.
+	// Secret is random, has at least KeySize bytes and is used by this
+	// incarnation only.
 	Secret []byte
-	// Life is how long a lease takes new operations.
+	// Life is how long a lease accepts new operations.
 	Life time.Duration
-	// Grace is how much longer the outcomes are kept for callers that ask again.
+	// Grace is how long outcomes are kept after the lease has expired, for
+	// callers that retry.
 	Grace time.Duration
-	// MaxRefused is how many refused operations of a customer are remembered
-	// one by one.
+	// MaxRefused is the number of refused operations of a customer that are
+	// recorded individually.
 	MaxRefused int
 }
 
-// Decision is what Begin says.
+// Decision is the result of Begin.
 type Decision[O Outcome] struct {
 	Verdict Verdict
-	// Outcome is set for Known.
+	// Outcome is set if Verdict is Known.
 	Outcome O
 }
 
-// Table is the operations of one incarnation, by customer. O is the outcome it
-// keeps. It is not safe for concurrent use.
+// Table holds the operations of one incarnation by customer, with outcomes of
+// type O. It is not safe for concurrent use.
 //
-// Time is the incarnation's own monotonic clock, as the time since it started.
-// The table never goes back in it: whether a lease is over and what may be
-// forgotten are decided by the highest time it was ever told. Otherwise a
-// request that read the clock, was paused, and came on after its operation had
-// been forgotten would pass for a new one and run twice.
+// Time is the time since the incarnation started, by its own monotonic clock.
+// The table's clock never goes back: expiry and removal both use the latest
+// time passed to any method. Otherwise a request that read the clock, was
+// paused, and continued after its operation had been removed would be taken for
+// a new one and run twice.
 type Table[O Outcome] struct {
 	opts      Options
 	issuer    issuer
@@ -93,21 +97,23 @@
 	customers map[string]*customer[O]
 }
 
-// customer is the operations of one customer. Those that ran, or may have, are
-// kept one by one until their lease is over. Refused ones are kept too, as a
-// late copy of a request that was answered "not run" must not run either; when
-// there are too many, every lease up to the newest is closed instead, which
-// covers them all with one number.
+// customer holds the operations of one customer. Operations that ran, or may
+// have run, are kept individually until their lease and its grace period are
+// over. Refused ones are kept too, because a delayed copy of a request that was
+// answered "not run" must not run either. When there are too many of them, all
+// leases up to the newest are closed, so that one serial number covers them
+// all.
 type customer[O Outcome] struct {
 	operations map[operationID]*operation[O]
-	// order holds the operations by arrival.
-	order   []*operation[O]
-	refused map[operationID]O
-	// bytes is the size of the outcomes in operations.
-	bytes int
-	// closed is the highest serial whose lease takes no new operations.
-	closed uint64
-	used   time.Duration
+	// arrivalOrder holds the operations in order of arrival.
+	arrivalOrder []*operation[O]
+	refused      map[operationID]O
+	// outcomeBytes is the total size of the outcomes in operations.
+	outcomeBytes int
+	// closedSerial is the highest serial of a closed lease. Leases up to it
+	// accept no new operations.
+	closedSerial uint64
+	lastUsed     time.Duration
 }
 
 type operationID struct{ serial, counter uint64 }
@@ -117,11 +123,11 @@
 	digest   Digest
 	forgetAt time.Duration
 	finished bool
-	dropped  bool
+	removed  bool
 	outcome  O
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty table.
 func NewTable[O Outcome](opts Options) *Table[O] {
 	return &Table[O]{
 		opts:      opts,
@@ -130,20 +136,20 @@
 	}
 }
 
-// Issue gives a customer a new lease.
+// Issue returns a new lease for a customer.
 func (t *Table[O]) Issue(now time.Duration, customer string) *Lease {
 	t.advance(now)
 	return t.issuer.issue(customer, t.now+t.opts.Life)
 }
 
-// Names tells whether the lease is of this incarnation, by its text alone. It
-// may be called at any time, beside the other methods.
+// Names reports whether the lease's text names this incarnation. It does not
+// verify the MAC. It is safe to call concurrently with the other methods.
 func (t *Table[O]) Names(l *Lease) bool {
-	return t.issuer.names(l)
+	return t.issuer.issued(l)
 }
 
-// Begin decides about one copy of a request. Room is how many operations of the
-// customer may be remembered at a time.
+// Begin decides about one copy of a request. Room is the maximum number of
+// operations to hold for the customer.
 func (t *Table[O]) Begin(now time.Duration, name string, key *Key, digest Digest, room int) Decision[O] {
 	t.advance(now)
 	if !t.issuer.verify(name, &key.Lease) {
@@ -152,12 +158,12 @@
 	c := t.customer(name)
 	id := operationID{key.Serial, key.Counter}
 	if op := c.operations[id]; op != nil {
-		return op.seenAgain(digest)
+		return op.decideRepeat(digest)
 	}
 	if o, ok := c.refused[id]; ok {
 		return Decision[O]{Verdict: Known, Outcome: o}
 	}
-	if v := t.closed(c, key); v != 0 {
+	if v := t.notStartable(c, key); v != 0 {
 		return Decision[O]{Verdict: v}
 	}
 	if len(c.operations) >= room {
@@ -167,7 +173,7 @@
 	return Decision[O]{Verdict: New}
 }
 
-func (op *operation[O]) seenAgain(digest Digest) Decision[O] {
+func (op *operation[O]) decideRepeat(digest Digest) Decision[O] {
 	switch {
 	case op.digest != digest:
 		return Decision[O]{Verdict: Mismatch}
@@ -178,24 +184,25 @@
 	}
 }
 
-// closed says why an operation that is not in the table cannot start, or 0. The
-// two ways of being over differ in what is proved: up to the grace nothing of
-// the lease has been forgotten, so an absent operation did not run.
-func (t *Table[O]) closed(c *customer[O], key *Key) Verdict {
+// notStartable returns why an operation that is not in the table cannot start,
+// or 0 if it can. Expired and Forgotten differ in what is certain: until the
+// grace period ends, no operation of the lease is removed, so an operation that
+// is not in the table did not run.
+func (t *Table[O]) notStartable(c *customer[O], key *Key) Verdict {
 	switch {
 	case t.now >= key.expires()+t.opts.Grace:
 		return Forgotten
 	case t.now >= key.expires():
 		return Expired
-	case key.Serial <= c.closed:
+	case key.Serial <= c.closedSerial:
 		return Closed
 	default:
 		return 0
 	}
 }
 
-// Finish keeps the outcome of an operation that Begin called New. Ran is false
-// only when it is proved that no part of it ran.
+// Finish records the outcome of an operation for which Begin returned New. Ran
+// may be false only if it is certain that no part of the operation ran.
 func (t *Table[O]) Finish(now time.Duration, name string, key *Key, outcome O, ran bool) {
 	t.advance(now)
 	c := t.customer(name)
@@ -205,41 +212,42 @@
 		return
 	}
 	if !ran {
-		c.drop(op)
-		t.refuse(c, id, outcome)
+		c.remove(op)
+		t.recordRefusal(c, id, outcome)
 		return
 	}
 	op.finished = true
 	op.outcome = outcome
-	c.bytes += outcome.Size()
+	c.outcomeBytes += outcome.Size()
 }
 
-// Refuse keeps the refusal of an operation that Begin called Full: a late copy
-// that finds room again must not run, its caller was told that it did not.
+// Refuse records the refusal of an operation for which Begin returned Full. Its
+// caller was answered "not run", so a delayed copy must not run even if the
+// table has room again.
 func (t *Table[O]) Refuse(now time.Duration, name string, key *Key, outcome O) {
 	t.advance(now)
-	t.refuse(t.customer(name), operationID{key.Serial, key.Counter}, outcome)
+	t.recordRefusal(t.customer(name), operationID{key.Serial, key.Counter}, outcome)
 }
 
-func (t *Table[O]) refuse(c *customer[O], id operationID, outcome O) {
+func (t *Table[O]) recordRefusal(c *customer[O], id operationID, outcome O) {
 	c.refused[id] = outcome
 	if len(c.refused) > t.opts.MaxRefused {
-		c.closed = t.issuer.serial
+		c.closedSerial = t.issuer.lastSerial
 		clear(c.refused)
 	}
 }
 
-// Bytes is the size of the outcomes that are kept for a customer.
+// Bytes returns the total size of the outcomes kept for a customer.
 func (t *Table[O]) Bytes(name string) int {
 	c := t.customers[name]
 	if c == nil {
 		return 0
 	}
-	return c.bytes
+	return c.outcomeBytes
 }
 
-// Len is how many operations of a customer are remembered, the refused ones
-// apart.
+// Len returns the number of operations held for a customer, and the number of
+// refusals, which are counted separately.
 func (t *Table[O]) Len(name string) (operations, refused int) {
 	c := t.customers[name]
 	if c == nil {
@@ -254,13 +262,13 @@
 		c = &customer[O]{operations: map[operationID]*operation[O]{}, refused: map[operationID]O{}}
 		t.customers[name] = c
 	}
-	c.used = t.now
-	c.forget(t.now)
+	c.lastUsed = t.now
+	c.removeExpired(t.now)
 	return c
 }
 
-// advance moves the clock on, never back, and from time to time drops the
-// customers that hold nothing and whose leases are all over.
+// advance moves the clock forward, never back. Once per lease lifetime it
+// removes customers that hold no operations and whose leases are all over.
 func (t *Table[O]) advance(now time.Duration) {
 	t.now = max(t.now, now)
 	if t.now < t.sweepAt {
@@ -268,8 +276,8 @@
 	}
 	t.sweepAt = t.now + t.opts.Life
 	for name, c := range t.customers {
-		c.forget(t.now)
-		if len(c.operations) == 0 && t.now > c.used+t.opts.Life+t.opts.Grace {
+		c.removeExpired(t.now)
+		if len(c.operations) == 0 && t.now > c.lastUsed+t.opts.Life+t.opts.Grace {
 			delete(t.customers, name)
 		}
 	}
@@ -277,43 +285,48 @@
 
 func (c *customer[O]) add(op *operation[O]) {
 	c.operations[op.id] = op
-	c.order = append(c.order, op)
+	c.arrivalOrder = append(c.arrivalOrder, op)
 }
 
-// drop forgets an operation at once; its place in order goes later.
-func (c *customer[O]) drop(op *operation[O]) {
+// remove deletes an operation at once. Its entry in arrivalOrder is removed
+// later.
+func (c *customer[O]) remove(op *operation[O]) {
 	delete(c.operations, op.id)
-	op.dropped = true
+	op.removed = true
+	// Compaction runs only when at least half of the entries, and 64 of them, are
+	// stale, so that its cost is spread over many removals.
 	const slack = 64
-	if len(c.order) < 2*len(c.operations)+slack {
+	if len(c.arrivalOrder) < 2*len(c.operations)+slack {
 		return
 	}
-	kept := c.order[:0]
-	for _, o := range c.order {
-		if !o.dropped {
+	kept := c.arrivalOrder[:0]
+	for _, o := range c.arrivalOrder {
+		if !o.removed {
 			kept = append(kept, o)
 		}
 	}
-	clear(c.order[len(kept):])
-	c.order = kept
+	clear(c.arrivalOrder[len(kept):])
+	c.arrivalOrder = kept
 }
 
-// forget drops what is over from the front. An operation behind a younger lease's
-// waits for it: it is kept longer than promised, never shorter.
-func (c *customer[O]) forget(now time.Duration) {
+// removeExpired deletes forgettable operations from the front of arrivalOrder.
+// An operation behind one of a newer lease is kept until that one can be
+// deleted: longer than promised, never shorter.
+func (c *customer[O]) removeExpired(now time.Duration) {
 	n := 0
-	for n < len(c.order) && c.order[n].over(now) {
-		if op := c.order[n]; !op.dropped {
+	for n < len(c.arrivalOrder) && c.arrivalOrder[n].forgettable(now) {
+		if op := c.arrivalOrder[n]; !op.removed {
 			delete(c.operations, op.id)
-			c.bytes -= op.outcome.Size()
+			c.outcomeBytes -= op.outcome.Size()
 		}
-		c.order[n] = nil
+		c.arrivalOrder[n] = nil
 		n++
 	}
-	c.order = c.order[n:]
+	c.arrivalOrder = c.arrivalOrder[n:]
 }
 
-// over is never true of an operation that still runs.
-func (op *operation[O]) over(now time.Duration) bool {
-	return op.dropped || (op.finished && now >= op.forgetAt)
+// forgettable reports whether the operation can be deleted. It is false while
+// the operation runs.
+func (op *operation[O]) forgettable(now time.Duration) bool {
+	return op.removed || (op.finished && now >= op.forgetAt)
 }
