--- a/internal/once/conformance_test.go
+++ b/internal/once/conformance_test.go
@@ -371,8 +371,8 @@
 	s.now += rapid.SampledFrom([]time.Duration{time.Millisecond, time.Second, 6 * time.Second, confLife + confGrace}).Draw(rt, "time")
 }
 
-// sendOtherRequests delivers idempotent requests of other customers
-// to both owners.
+// sendOtherRequests delivers idempotent requests of other customers to both
+// owners.
 func (s *protocolModel) sendOtherRequests(*rapid.T) {
 	for _, o := range s.owners {
 		for range 4 {
--- a/internal/share/state.go
+++ b/internal/share/state.go
@@ -30,8 +30,10 @@
 	// earlier are refused, because their sequence numbers may have been
 	// forgotten.
 	membersChangedAt time.Time
-	entitled         Amount
-	effective        Amount
+	// entitled is this VM's part of the limit, effective what it may use or lend
+	// of it now.
+	entitled  Amount
+	effective Amount
 	// rateIncreaseAt and concurrencyIncreaseAt are when a higher entitlement
 	// takes effect.
 	rateIncreaseAt        time.Time
@@ -39,10 +41,14 @@
 	lendings              map[string]*lending
 	borrowings            map[string]*borrowing
 	// nextRequestAt is when the next request for loans is due.
-	nextRequestAt  time.Time
-	nextLender     int
+	nextRequestAt time.Time
+	// nextLender is the index in Members of the VM asked last.
+	nextLender int
+	// failedRequests counts, up to 3, the rounds of requests since the last loan
+	// or since loans covered the demand.
 	failedRequests int
-	published      Share
+	// published is the share of the last Set action.
+	published Share
 	// restarting is set while only loans of a previous incarnation of this VM
 	// delay the entitlement.
 	restarting bool
