--- a/internal/contract/bench_test.go
+++ b/internal/contract/bench_test.go
@@ -9,7 +9,7 @@
 )
 
 // BenchmarkChange checks and compiles one services document, as a daemon does
-// when it changes.
+// when the document changes.
 func BenchmarkChange(b *testing.B) {
 	for _, upstreams := range []int{100, 500, 2500} {
 		b.Run(fmt.Sprintf("upstreams=%d", upstreams), func(b *testing.B) {
@@ -27,7 +27,7 @@
 	}
 }
 
-// services is a document of one service with two replicas a shard.
+// services returns a document with one service that has two replicas per shard.
 func services(upstreams int) []byte {
 	var out strings.Builder
 	out.WriteString("[[services]]\nname = \"s\"\npath = \"/\"\n")
--- a/internal/contract/check.go
+++ b/internal/contract/check.go
@@ -1,6 +1,7 @@
-// Package contract checks the documents operators publish and turns the
-// accepted ones into the snapshot every decision reads. It is pure: the verdict
-// on a document depends on its bytes alone, so every daemon reaches the same.
+// Package contract validates the documents that operators publish and compiles
+// the accepted ones into an immutable snapshot, which all decisions about
+// requests read. Validation depends on the bytes of the document alone, so all
+// daemons accept and reject the same documents.
 package contract
 
 import (
@@ -13,7 +14,7 @@
 	"sycamorekeel.example/sycamorekeel/internal/tomlpb"
 )
 
-// Bounds of what a contract may ask for.
+// Upper bounds of the fields of a document.
 const (
 	MaxDeadlineMS   = 600_000
 	MaxRate         = 1e6
@@ -22,7 +23,8 @@
 	MaxExtraPercent = 100
 	MaxSlots        = 10_000
 	MaxHits         = 10_000
-	// MaxDocuments keeps the sum over all shards exact.
+	// MaxDocuments limits the documents of one shard, so that the sum over all
+	// shards stays exact.
 	MaxDocuments = 1e12
 	MaxReplicas  = 64
 )
@@ -33,15 +35,15 @@
 	pathPattern = regexp.MustCompile(`^/[A-Za-z0-9._~/-]{0,254}$`)
 )
 
-// Check decodes and checks one document. The document may be used only when
-// there are no findings.
+// Check decodes and validates one document; name is the file name in the
+// findings. The document is valid only if the list of findings is empty.
 func Check(name string, body []byte) (*pb.Document, finding.List) {
 	doc := &pb.Document{}
 	c := checker{
 		src:         tomlpb.Decode(name, body, doc),
-		hashes:      names{},
-		addresses:   names{},
-		vmAddresses: names{},
+		hashes:      firstUse{},
+		addresses:   firstUse{},
+		vmAddresses: firstUse{},
 		regions:     map[string]string{},
 	}
 	if len(c.src.Findings()) > 0 {
@@ -51,13 +53,14 @@
 	return doc, c.src.Findings()
 }
 
+// checker validates one document and adds its findings to src.
 type checker struct {
 	src *tomlpb.Source
-	// hashes remembers the token hashes of all customers.
-	hashes names
-	// addresses and vmAddresses remember those of upstreams and VMs.
-	addresses, vmAddresses names
-	// regions remembers the region of each data centre.
+	// hashes holds the token hashes of all customers.
+	hashes firstUse
+	// addresses holds the addresses of upstreams, vmAddresses those of VMs.
+	addresses, vmAddresses firstUse
+	// regions maps each data centre to its region.
 	regions map[string]string
 }
 
@@ -65,36 +68,37 @@
 	if len(doc.Customers)+len(doc.Services)+len(doc.Vms) == 0 {
 		c.src.Addf("", "holds no customers, services or vms")
 	}
-	customers, services, vms := names{}, names{}, names{}
+	customers, services, vms := firstUse{}, firstUse{}, firstUse{}
 	for i, v := range doc.Customers {
 		at := fmt.Sprintf("customers[%d]", i)
-		c.unique(customers, at+".name", v.Name)
+		c.uniqueName(customers, at+".name", v.Name)
 		c.customer(at, v)
 	}
 	for i, v := range doc.Services {
 		at := fmt.Sprintf("services[%d]", i)
-		c.unique(services, at+".name", v.Name)
+		c.uniqueName(services, at+".name", v.Name)
 		c.service(at, v)
 	}
 	for i, v := range doc.Vms {
 		at := fmt.Sprintf("vms[%d]", i)
-		c.unique(vms, at+".id", v.Id)
+		c.uniqueName(vms, at+".id", v.Id)
 		c.vm(at, v)
 	}
 }
 
-// names remembers where each name was first used.
-type names map[string]string
+// firstUse maps each value that must be unique to the field that first used it.
+type firstUse map[string]string
 
-func (c *checker) unique(seen names, at, name string) {
+// uniqueName checks the form of a name and that seen does not hold it yet.
+func (c *checker) uniqueName(seen firstUse, at, name string) {
 	if !namePattern.MatchString(name) {
 		c.src.Addf(at, "must be 1 to 63 of a-z, 0-9, '.', '_', '-', starting with a letter or digit, not %q", name)
 		return
 	}
-	c.once(seen, at, name)
+	c.uniqueValue(seen, at, name)
 }
 
-func (c *checker) once(seen names, at, text string) {
+func (c *checker) uniqueValue(seen firstUse, at, text string) {
 	if first, ok := seen[text]; ok {
 		c.src.Addf(at, "%q is already used by %s", text, first)
 		return
@@ -112,15 +116,15 @@
 			c.src.Addf(place, "must be 64 lower-case hex digits")
 			continue
 		}
-		c.once(c.hashes, place, h)
+		c.uniqueValue(c.hashes, place, h)
 	}
 	if len(v.Kinds) == 0 {
 		c.src.Addf(at+".kinds", "must hold at least one request kind")
 	}
-	kinds := names{}
+	kinds := firstUse{}
 	for i, k := range v.Kinds {
 		place := fmt.Sprintf("%s.kinds[%d]", at, i)
-		c.unique(kinds, place+".name", k.Name)
+		c.uniqueName(kinds, place+".name", k.Name)
 		c.kind(place, k)
 	}
 }
@@ -129,14 +133,14 @@
 	if !namePattern.MatchString(k.Service) {
 		c.src.Addf(at+".service", "must name a service")
 	}
-	c.within(at+".rate_per_second", k.RatePerSecond, 0.01, MaxRate)
-	c.within(at+".concurrency", float64(k.Concurrency), 1, MaxConcurrency)
-	c.within(at+".weight", float64(k.Weight), 1, MaxWeight)
-	c.within(at+".deadline_ms", float64(k.DeadlineMs), 1, MaxDeadlineMS)
-	c.within(at+".coverage_floor", k.CoverageFloor, 0, 1)
-	c.within(at+".hedge_percent", k.HedgePercent, 0, MaxExtraPercent)
-	c.within(at+".retry_percent", k.RetryPercent, 0, MaxExtraPercent)
-	c.within(at+".max_hits", float64(k.MaxHits), 0, MaxHits)
+	c.inRange(at+".rate_per_second", k.RatePerSecond, 0.01, MaxRate)
+	c.inRange(at+".concurrency", float64(k.Concurrency), 1, MaxConcurrency)
+	c.inRange(at+".weight", float64(k.Weight), 1, MaxWeight)
+	c.inRange(at+".deadline_ms", float64(k.DeadlineMs), 1, MaxDeadlineMS)
+	c.inRange(at+".coverage_floor", k.CoverageFloor, 0, 1)
+	c.inRange(at+".hedge_percent", k.HedgePercent, 0, MaxExtraPercent)
+	c.inRange(at+".retry_percent", k.RetryPercent, 0, MaxExtraPercent)
+	c.inRange(at+".max_hits", float64(k.MaxHits), 0, MaxHits)
 	if k.Priority == pb.Priority_PRIORITY_UNSPECIFIED {
 		c.src.Addf(at+".priority", "must be set to low, normal or high")
 	}
@@ -147,14 +151,14 @@
 		c.src.Addf(at+".soft_deadline_ms", "must be below deadline_ms (%d), not %d", k.DeadlineMs, k.SoftDeadlineMs)
 	}
 	if k.WaitForFull && k.SoftDeadlineMs > 0 {
-		c.src.Addf(at+".soft_deadline_ms", "cannot stand beside wait_for_full: one answers early, the other waits")
+		c.src.Addf(at+".soft_deadline_ms", "cannot be combined with wait_for_full: one answers early, the other waits")
 	}
 	if !k.Idempotent && k.HedgePercent > 0 {
 		c.src.Addf(at+".hedge_percent", "must be 0 for a non-idempotent kind, which runs at most once")
 	}
 }
 
-func (c *checker) within(at string, v, low, high float64) {
+func (c *checker) inRange(at string, v, low, high float64) {
 	if v < low || v > high {
 		c.src.Addf(at, "must be from %g to %g, not %g", low, high, v)
 	}
@@ -167,10 +171,10 @@
 	if len(v.Upstreams) == 0 {
 		c.src.Addf(at+".upstreams", "must hold at least one upstream")
 	}
-	ids := names{}
+	ids := firstUse{}
 	for i, u := range v.Upstreams {
 		place := fmt.Sprintf("%s.upstreams[%d]", at, i)
-		c.unique(ids, place+".id", u.Id)
+		c.uniqueName(ids, place+".id", u.Id)
 		c.upstream(place, u)
 	}
 	if len(v.Maps) == 0 {
@@ -192,16 +196,17 @@
 	if !namePattern.MatchString(u.DataCentre) {
 		c.src.Addf(at+".data_centre", "must name a data centre")
 	}
-	c.within(at+".slots", float64(u.Slots), 1, MaxSlots)
-	c.within(at+".connections", float64(u.Connections), 1, MaxSlots)
+	c.inRange(at+".slots", float64(u.Slots), 1, MaxSlots)
+	c.inRange(at+".connections", float64(u.Connections), 1, MaxSlots)
 	if u.Connections < u.Slots {
 		c.src.Addf(at+".connections", "must be at least slots (%d), not %d", u.Slots, u.Connections)
 	}
 }
 
-// address checks an address that no other may share: two upstreams at one
-// address would each be given the connections that the server accepts once.
-func (c *checker) address(seen names, at, text string) {
+// address checks that an address is valid and unique. If two upstreams shared
+// an address, each would open its full number of connections to a server that
+// accepts that number only once.
+func (c *checker) address(seen firstUse, at, text string) {
 	addr, err := netip.ParseAddrPort(text)
 	switch {
 	case err != nil:
@@ -209,11 +214,11 @@
 	case addr.Port() == 0 || addr.Addr().IsUnspecified() || addr.Addr().IsMulticast():
 		c.src.Addf(at, "must be an address that can be connected to, not %q", text)
 	default:
-		c.once(seen, at, text)
+		c.uniqueValue(seen, at, text)
 	}
 }
 
-func (c *checker) shardMap(at string, m *pb.ShardMap, upstreams names) {
+func (c *checker) shardMap(at string, m *pb.ShardMap, upstreams firstUse) {
 	if len(m.Versions) == 0 {
 		c.src.Addf(at+".versions", "must hold at least one index version")
 	}
@@ -236,9 +241,9 @@
 	}
 }
 
-func (c *checker) shard(at string, s *pb.Shard, upstreams names) {
+func (c *checker) shard(at string, s *pb.Shard, upstreams firstUse) {
 	if s.Documents == 0 || s.Documents > MaxDocuments {
-		c.src.Addf(at+".documents", "must be from 1 to %g: it weighs the shard in coverage", float64(MaxDocuments))
+		c.src.Addf(at+".documents", "must be from 1 to %g: it is the weight of the shard in coverage", float64(MaxDocuments))
 	}
 	if len(s.Replicas) == 0 || len(s.Replicas) > MaxReplicas {
 		c.src.Addf(at+".replicas", "must name from 1 to %d upstreams", MaxReplicas)
--- a/internal/contract/check_test.go
+++ b/internal/contract/check_test.go
@@ -10,7 +10,7 @@
 	"sycamorekeel.example/sycamorekeel/internal/tomlpb"
 )
 
-// valid is a whole document; each test row edits it.
+// valid is a complete, valid document; each test case changes one part of it.
 const valid = `[[customers]]
 name = "acme"
 token_sha256 = ["aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"]
@@ -68,6 +68,7 @@
 state = "vm_leaving"
 `
 
+// edit returns the valid document with the first occurrence of from replaced.
 func edit(t *testing.T, from, to string) string {
 	t.Helper()
 	if !strings.Contains(valid, from) {
@@ -79,12 +80,12 @@
 func TestCheck(t *testing.T) {
 	tests := []struct {
 		name, from, to string
-		// want is a part of the one finding, with its line and field.
+		// want is a substring of the only finding, with its line and field.
 		want string
 	}{
 		{"customer name", `"acme"`, `"Acme Ltd"`, "f:2: customers[0].name: must be 1 to 63 of"},
 		{"no token", `token_sha256 = ["` + strings.Repeat("a", 64) + `"]`, "token_sha256 = []", "f:3: customers[0].token_sha256: must hold at least one hash"},
-		{"token form", strings.Repeat("a", 64), "secret", "f:3: customers[0].token_sha256[0]: must be 64 lower-case hex digits"},
+		{"token is not a hash", strings.Repeat("a", 64), "secret", "f:3: customers[0].token_sha256[0]: must be 64 lower-case hex digits"},
 		{"token twice", `["` + strings.Repeat("a", 64) + `"]`, `["` + strings.Repeat("a", 64) + `", "` + strings.Repeat("a", 64) + `"]`, "f:3: customers[0].token_sha256[1]: "},
 		{"no service", `service = "pages"`, `service = ""`, "f:6: customers[0].kinds[0].service: must name a service"},
 		{"rate", "rate_per_second = 10", "rate_per_second = 0", "f:7: customers[0].kinds[0].rate_per_second: must be from 0.01 to 1e+06, not 0"},
@@ -93,9 +94,9 @@
 		{"priority", "priority = \"high\"\n", "", "customers[0].kinds[0].priority: must be set to low, normal or high"},
 		{"deadline", "\ndeadline_ms = 300", "\ndeadline_ms = 600001", "f:11: customers[0].kinds[0].deadline_ms: must be from 1 to 600000"},
 		{"soft deadline", "soft_deadline_ms = 100", "soft_deadline_ms = 300", "f:12: customers[0].kinds[0].soft_deadline_ms: must be below deadline_ms (300), not 300"},
-		{"soft deadline and waiting", "idempotent = true", "idempotent = true\nwait_for_full = true", "f:12: customers[0].kinds[0].soft_deadline_ms: cannot stand beside wait_for_full"},
+		{"soft deadline with wait_for_full", "idempotent = true", "idempotent = true\nwait_for_full = true", "f:12: customers[0].kinds[0].soft_deadline_ms: cannot be combined with wait_for_full"},
 		{"floor", "coverage_floor = 0.9", "coverage_floor = 1.1", "f:13: customers[0].kinds[0].coverage_floor: must be from 0 to 1, not 1.1"},
-		{"hedged payment", "idempotent = true", "idempotent = false", "f:15: customers[0].kinds[0].hedge_percent: must be 0 for a non-idempotent kind"},
+		{"hedges of a non-idempotent kind", "idempotent = true", "idempotent = false", "f:15: customers[0].kinds[0].hedge_percent: must be 0 for a non-idempotent kind"},
 		{"retries", "retry_percent = 10", "retry_percent = 101", "f:16: customers[0].kinds[0].retry_percent: must be from 0 to 100"},
 		{"merge", "merge = \"top_k\"\n", "", "customers[0].kinds[0].merge: must be set to top_k, concat or single"},
 		{"hits", "max_hits = 10", "max_hits = 10001", "f:18: customers[0].kinds[0].max_hits: must be from 0 to 10000"},
@@ -153,20 +154,20 @@
 		{"floor 0", "coverage_floor = 0.9", "coverage_floor = 0", "f:13: customers[0].kinds[0].coverage_floor: is 0"},
 		{"no hedge, no retry", "hedge_percent = 5\nretry_percent = 10\n", "", "customers[0].kinds[0]: has neither hedges nor retries"},
 		{"hits of a single answer", `merge = "top_k"`, `merge = "single"`, "f:18: customers[0].kinds[0].max_hits: has no effect"},
-		{"deadline below the network's time", "deadline_ms = 300\nsoft_deadline_ms = 100", "deadline_ms = 20", "f:11: customers[0].kinds[0].deadline_ms: is below 30 ms"},
+		{"deadline below the cross-region time", "deadline_ms = 300\nsoft_deadline_ms = 100", "deadline_ms = 20", "f:11: customers[0].kinds[0].deadline_ms: is below 30 ms"},
 		{"concurrency far above the slots", "concurrency = 5", "concurrency = 500", "services[0]: its customers may take 500 slots at once over the 1 shards of maps[0]; its upstreams have 10"},
-		{"one replica", `["u1", "u2"]`, `["u1"]`, "services[0].maps[0].shards[0].replicas: has one upstream that stays"},
-		{"one data centre", "data_centre = \"d2\"\nslots", "data_centre = \"d1\"\nslots", "stands in one data centre alone"},
-		{"all leaving", "slots = 5\nconnections = 40\n[[services.maps]]", "slots = 5\nconnections = 40\nleaving = true\n[[services.maps]]", "has one upstream that stays"},
-		{"no VM near", "data_centre = \"d2\"\nslots", "data_centre = \"d3\"\nslots", `f:31: services[0].upstreams[1].data_centre: "d3" has no VM`},
-		{"waiting at floor 1", "soft_deadline_ms = 100\ncoverage_floor = 0.9", "wait_for_full = true\ncoverage_floor = 1", "customers[0].kinds[0].wait_for_full: has no effect"},
+		{"one replica", `["u1", "u2"]`, `["u1"]`, "services[0].maps[0].shards[0].replicas: has only one upstream that is not leaving"},
+		{"one data centre", "data_centre = \"d2\"\nslots", "data_centre = \"d1\"\nslots", "all upstreams that are not leaving are in one data centre"},
+		{"one of two leaving", "slots = 5\nconnections = 40\n[[services.maps]]", "slots = 5\nconnections = 40\nleaving = true\n[[services.maps]]", "has only one upstream that is not leaving"},
+		{"data centre without a VM", "data_centre = \"d2\"\nslots", "data_centre = \"d3\"\nslots", `f:31: services[0].upstreams[1].data_centre: "d3" has no VM`},
+		{"wait_for_full at floor 1", "soft_deadline_ms = 100\ncoverage_floor = 0.9", "wait_for_full = true\ncoverage_floor = 1", "customers[0].kinds[0].wait_for_full: has no effect"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			body := []byte(edit(t, tt.from, tt.to))
 			doc, findings := contract.Check("f", body)
 			if len(findings) > 0 {
-				t.Fatalf("is not permitted:\n%s", findings)
+				t.Fatalf("the document is not valid:\n%s", findings)
 			}
 			got := contract.Warnings([]contract.File{{Name: "f", Body: body, Document: doc}})
 			if len(got) != 1 || !strings.Contains(got.String(), tt.want) {
@@ -207,7 +208,8 @@
 	}
 }
 
-// compile gives the documents ascending names; shift rotates their revisions.
+// compile names the documents "a", "b" and so on and compiles them; shift
+// rotates their revisions.
 func compile(t *testing.T, docs []string, shift int) *contract.Snapshot {
 	t.Helper()
 	var accepted []contract.Accepted
@@ -223,12 +225,11 @@
 	return contract.Compile(9, accepted)
 }
 
-// Symptom: an edited contract has no effect, its former wording is in force.
-// Sequence: an operator copies a document under a second name and forgets it;
-// later the first is edited.
-// Cause: the document with the older revision keeps a name claimed twice, and
-// that is the copy from the edit on.
-func TestEditDoesNotHandANameToACopy(t *testing.T) {
+// TestEditedDocumentKeepsPrecedenceOverCopy guards against an edit that has no
+// effect. An operator copies a document under a second name, forgets the copy
+// and later edits the original. If the older revision took precedence, the copy
+// with the former contract would replace the edited original.
+func TestEditedDocumentKeepsPrecedenceOverCopy(t *testing.T) {
 	copied := strings.Replace(valid, "weight = 1", "weight = 9", 1)
 	for shift := range 2 {
 		s := compile(t, []string{valid, copied}, shift)
@@ -239,8 +240,8 @@
 	}
 }
 
-// FuzzCheck feeds any bytes to the check: no panic, findings bounded in number
-// and length, and one verdict for the same bytes.
+// FuzzCheck checks that arbitrary bytes cause no panic, that the number and
+// length of findings are bounded and that equal bytes give equal findings.
 func FuzzCheck(f *testing.F) {
 	f.Add([]byte(valid))
 	for _, user := range []string{"leasing", "wikiforos"} {
@@ -259,7 +260,7 @@
 		}
 		_, again := contract.Check("f", body)
 		if findings.String() != again.String() {
-			t.Fatalf("two verdicts:\n%s\n%s", findings, again)
+			t.Fatalf("the same bytes gave different findings:\n%s\n%s", findings, again)
 		}
 		if len(findings) == 0 {
 			contract.Warnings([]contract.File{{Name: "f", Body: body, Document: doc}})
--- a/internal/contract/snapshot.go
+++ b/internal/contract/snapshot.go
@@ -11,59 +11,61 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// Snapshot is every accepted document compiled for look-up. It is immutable;
-// readers keep the one they started with.
+// Snapshot holds the contents of all accepted documents, indexed for look-up.
+// It is immutable; readers keep using the one that they loaded.
 type Snapshot struct {
-	// Revision is the highest revision taken in.
+	// Revision is the highest revision that the snapshot covers.
 	Revision  uint64
 	customers map[string]*Customer
 	services  map[string]*Service
 	upstreams map[string]*Upstream
-	// tokens finds a customer by the SHA-256 of its token.
+	// tokens maps the SHA-256 of a token to its customer.
 	tokens map[[sha256.Size]byte]tokenOwner
 	vms    []*pb.VM
-	// Conflicts tells of names that two documents claim and of services that
-	// no document defines.
+	// Conflicts describes names, addresses and tokens that two documents use and
+	// services that no document defines.
 	Conflicts []string
-	// Undefined is those conflicts that name a service which no document defines.
+	// Undefined is the subset of Conflicts about services that no document
+	// defines.
 	Undefined []string
 }
 
-// tokenOwner is the customer that a token hash lets in.
+// tokenOwner is a token hash and the customer that it authenticates.
 type tokenOwner struct {
 	hash     [sha256.Size]byte
 	customer *Customer
 }
 
-// Customer is one contract in force.
+// Customer is a customer with its request kinds by name.
 type Customer struct {
 	Name  string
 	Kinds map[string]*Kind
 }
 
-// Kind is one request kind in force. Service is nil while no accepted document
-// defines it; such a kind is refused.
+// Kind is one request kind of a customer. Service is nil while no accepted
+// document defines it; requests of such a kind are refused.
 type Kind struct {
 	*pb.Kind
 	Customer string
 	Service  *Service
 }
 
-// Deadline is the contracted time of a whole answer.
+// Deadline is the contracted time limit of an answer.
 func (k *Kind) Deadline() time.Duration {
 	return time.Duration(k.DeadlineMs) * time.Millisecond
 }
 
-// SoftDeadline is when an answer at the coverage floor is given; 0 means never.
+// SoftDeadline is the time after which an answer is sent as soon as its coverage
+// reaches the floor; 0 disables early answers.
 func (k *Kind) SoftDeadline() time.Duration {
 	return time.Duration(k.SoftDeadlineMs) * time.Millisecond
 }
 
-// Service is one service in force.
+// Service is a service with its shard maps.
 type Service struct {
 	Name string
 	Path string
-	// Maps is ascending by generation.
+	// Maps is in ascending order of generation.
 	Maps []*ShardMap
 }
 
@@ -72,19 +74,19 @@
 	Generation uint32
 	Versions   []uint64
 	Shards     []*Shard
-	// Documents is the sum over the shards.
+	// Documents is the number of documents in all shards.
 	Documents uint64
 }
 
-// Shard is one part of the data with its replicas.
+// Shard is one shard of a service's data and the upstreams that hold it.
 type Shard struct {
 	ID        uint32
 	Documents uint64
 	Replicas  []*Upstream
 }
 
-// Upstream is one server in force. IDs are unique over all services as
-// "service/id".
+// Upstream is one server of a service. ID has the form "service/id" and is
+// unique over all services.
 type Upstream struct {
 	ID          string
 	Service     string
@@ -96,16 +98,17 @@
 	Leaving     bool
 }
 
-// Accepted is one document that passed the check.
+// Accepted is one document that passed Check.
 type Accepted struct {
 	Name     string
 	Revision uint64
 	Document *pb.Document
 }
 
-// Compile builds a snapshot. Where two documents claim one name, the first by
-// document name keeps it. Were it the older revision, an edit of one document
-// would hand its customer over to a forgotten copy in another.
+// Compile builds a snapshot of the accepted documents; it sorts docs by name.
+// If two documents define the same name, the document that sorts first wins.
+// Precedence by older revision would be unsafe: after an edit of the original,
+// a forgotten copy would be the older one and replace it.
 func Compile(revision uint64, docs []Accepted) *Snapshot {
 	s := &Snapshot{
 		Revision:  revision,
@@ -126,12 +129,13 @@
 	return s
 }
 
-// addServices also tells of upstreams that share an address: the server there
-// accepts its connections once, not once for each.
+// addServices adds the services of a document and records upstreams that share
+// an address as conflicts: the server at that address accepts its number of
+// connections only once, not once per upstream.
 func (s *Snapshot) addServices(d Accepted, addresses map[string]string) {
 	for _, v := range d.Document.Services {
 		if _, ok := s.services[v.Name]; ok {
-			s.conflict(d, "service", v.Name)
+			s.addDuplicate(d, "service", v.Name)
 			continue
 		}
 		s.services[v.Name] = s.service(v)
@@ -149,7 +153,7 @@
 func (s *Snapshot) addVMs(d Accepted, seen map[string]bool) {
 	for _, v := range d.Document.Vms {
 		if seen[v.Id] {
-			s.conflict(d, "VM", v.Id)
+			s.addDuplicate(d, "VM", v.Id)
 			continue
 		}
 		seen[v.Id] = true
@@ -197,7 +201,7 @@
 func (s *Snapshot) addCustomers(d Accepted) {
 	for _, v := range d.Document.Customers {
 		if _, ok := s.customers[v.Name]; ok {
-			s.conflict(d, "customer", v.Name)
+			s.addDuplicate(d, "customer", v.Name)
 			continue
 		}
 		s.addCustomer(d, v)
@@ -229,13 +233,14 @@
 	}
 }
 
-func (s *Snapshot) conflict(d Accepted, what, name string) {
+// addDuplicate records that an earlier document already defines the name.
+func (s *Snapshot) addDuplicate(d Accepted, what, name string) {
 	s.Conflicts = append(s.Conflicts, fmt.Sprintf("%s: %s %s is already defined by another document", d.Name, what, name))
 }
 
-// Authenticate finds the customer a bearer token belongs to. Only the hash of
-// the token is looked up, and the match is confirmed in constant time, so that
-// timing tells a caller nothing about the tokens of others.
+// Authenticate returns the customer that a bearer token belongs to. It looks up
+// only the hash of the token and compares the hashes in constant time, so that
+// the timing reveals nothing about other customers' tokens.
 func (s *Snapshot) Authenticate(token string) (*Customer, bool) {
 	sum := sha256.Sum256([]byte(token))
 	match, ok := s.tokens[sum]
@@ -245,19 +250,19 @@
 	return match.customer, true
 }
 
-// Customer finds a customer by name.
+// Customer returns the customer with the given name.
 func (s *Snapshot) Customer(name string) (*Customer, bool) {
 	c, ok := s.customers[name]
 	return c, ok
 }
 
-// Upstream finds an upstream by "service/id".
+// Upstream returns the upstream with the given "service/id".
 func (s *Snapshot) Upstream(id string) (*Upstream, bool) {
 	u, ok := s.upstreams[id]
 	return u, ok
 }
 
-// Customers is every customer by name.
+// Customers returns all customers, sorted by name.
 func (s *Snapshot) Customers() []*Customer {
 	out := make([]*Customer, 0, len(s.customers))
 	for _, c := range s.customers {
@@ -267,7 +272,7 @@
 	return out
 }
 
-// Upstreams is every upstream by id.
+// Upstreams returns all upstreams, sorted by ID.
 func (s *Snapshot) Upstreams() []*Upstream {
 	out := make([]*Upstream, 0, len(s.upstreams))
 	for _, u := range s.upstreams {
@@ -277,7 +282,8 @@
 	return out
 }
 
-// VMs is the platform's list as last accepted.
+// VMs returns the VMs of all accepted documents. The caller must not change the
+// list.
 func (s *Snapshot) VMs() []*pb.VM {
 	return s.vms
 }
--- a/internal/contract/warnings.go
+++ b/internal/contract/warnings.go
@@ -9,23 +9,24 @@
 )
 
 const (
-	// fastestMS is about the least time of an answer that needs another region:
-	// 3 ms from the caller and 12 ms between regions, each way.
-	fastestMS = 30
-	// farAbove is how many times the slots of a service its customers may fill
-	// together before it is worth a warning: so many wait for each slot, then.
-	farAbove = 16
+	// minCrossRegionMS approximates the shortest time of an answer that needs
+	// another region: 3 ms from the caller and 12 ms between regions, each way.
+	minCrossRegionMS = 30
+	// maxDemandPerSlot limits the demand of all customers of a service, as a
+	// multiple of its slots. Above it there is a warning, because that many
+	// sub-requests compete for each slot.
+	maxDemandPerSlot = 16
 )
 
-// File is one document that passed Check, for warnings.
+// File is one document that passed Check, with its name and source text.
 type File struct {
 	Name     string
 	Body     []byte
 	Document *pb.Document
 }
 
-// Warnings tells what is permitted in these documents, taken together, but
-// hardly meant. It never decides whether a document is accepted.
+// Warnings reports settings that are valid but probably unintended, considering
+// all files together. Warnings do not affect whether a document is accepted.
 func Warnings(files []File) finding.List {
 	r := newReview(files)
 	var out finding.List
@@ -35,54 +36,54 @@
 	return out
 }
 
-// review knows what the files say of each other.
+// review holds the data of all files that the warnings on one file depend on.
 type review struct {
-	services map[string]*pb.Service
-	// demand is by service.
-	demand map[string]demand
-	// sites is the data centres that have VMs.
-	sites map[string]bool
+	services        map[string]*pb.Service
+	demandByService map[string]demand
+	// vmDataCentres is the set of data centres that have VMs.
+	vmDataCentres map[string]bool
 }
 
-// demand is the concurrency of all customers at one service: of requests to one
-// shard and of requests to all.
+// demand is the total concurrency of all customers of one service: single counts
+// requests to one shard, scattered counts requests to all shards.
 type demand struct{ single, scattered float64 }
 
-// slots is what the demand takes at once over a number of shards.
+// slots returns how many upstream slots the demand can use at once, given the
+// number of shards.
 func (d demand) slots(shards int) float64 {
 	return d.single + d.scattered*float64(shards)
 }
 
 func newReview(files []File) *review {
-	r := &review{services: map[string]*pb.Service{}, demand: map[string]demand{}, sites: map[string]bool{}}
+	r := &review{services: map[string]*pb.Service{}, demandByService: map[string]demand{}, vmDataCentres: map[string]bool{}}
 	for _, f := range files {
 		for _, s := range f.Document.Services {
 			r.services[s.Name] = s
 		}
 		for _, v := range f.Document.Vms {
-			r.sites[v.DataCentre] = true
+			r.vmDataCentres[v.DataCentre] = true
 		}
 		for _, c := range f.Document.Customers {
-			r.count(c)
+			r.addDemand(c)
 		}
 	}
 	return r
 }
 
-func (r *review) count(c *pb.Customer) {
+func (r *review) addDemand(c *pb.Customer) {
 	for _, k := range c.Kinds {
-		d := r.demand[k.Service]
+		d := r.demandByService[k.Service]
 		if k.Merge == pb.Merge_SINGLE {
 			d.single += float64(k.Concurrency)
 		} else {
 			d.scattered += float64(k.Concurrency)
 		}
-		r.demand[k.Service] = d
+		r.demandByService[k.Service] = d
 	}
 }
 
 func (r *review) file(f File) finding.List {
-	src := tomlpb.Locate(f.Name, f.Body)
+	src := tomlpb.NewSource(f.Name, f.Body)
 	for i, c := range f.Document.Customers {
 		for j, k := range c.Kinds {
 			r.kind(src, fmt.Sprintf("customers[%d].kinds[%d]", i, j), k)
@@ -108,19 +109,19 @@
 		src.Addf(at, "has neither hedges nor retries: one slow or lost upstream sets its latency and coverage")
 	}
 	if k.Merge == pb.Merge_SINGLE && k.MaxHits > 1 {
-		src.Addf(at+".max_hits", "has no effect: merge single takes one shard's answer")
+		src.Addf(at+".max_hits", "has no effect: merge single returns the answer of one shard")
 	}
-	if k.DeadlineMs < fastestMS && r.spansSites(k.Service) {
-		src.Addf(at+".deadline_ms", "is below %d ms, about the fastest answer that needs another region", fastestMS)
+	if k.DeadlineMs < minCrossRegionMS && r.spansDataCentres(k.Service) {
+		src.Addf(at+".deadline_ms", "is below %d ms, about the fastest answer that needs another region", minCrossRegionMS)
 	}
 }
 
-func (r *review) spansSites(service string) bool {
+func (r *review) spansDataCentres(service string) bool {
 	s := r.services[service]
-	return s != nil && len(sitesOf(s.Upstreams)) > 1
+	return s != nil && len(dataCentresOf(s.Upstreams)) > 1
 }
 
-func sitesOf(upstreams []*pb.Upstream) map[string]bool {
+func dataCentresOf(upstreams []*pb.Upstream) map[string]bool {
 	out := map[string]bool{}
 	for _, u := range upstreams {
 		out[u.DataCentre] = true
@@ -134,7 +135,7 @@
 	for i, u := range s.Upstreams {
 		byID[u.Id] = u
 		slots += float64(u.Slots)
-		if len(r.sites) > 0 && !r.sites[u.DataCentre] {
+		if len(r.vmDataCentres) > 0 && !r.vmDataCentres[u.DataCentre] {
 			src.Addf(fmt.Sprintf("%s.upstreams[%d].data_centre", at, i), "%q has no VM: each sub-request comes from another data centre", u.DataCentre)
 		}
 	}
@@ -143,25 +144,25 @@
 		for j, shard := range m.Shards {
 			r.shard(src, fmt.Sprintf("%s.shards[%d].replicas", place, j), shard, byID)
 		}
-		if want := r.demand[s.Name].slots(len(m.Shards)); want > farAbove*slots {
+		if want := r.demandByService[s.Name].slots(len(m.Shards)); want > maxDemandPerSlot*slots {
 			src.Addf(at, "its customers may take %.0f slots at once over the %d shards of maps[%d]; its upstreams have %.0f", want, len(m.Shards), i, slots)
 		}
 	}
 }
 
 func (r *review) shard(src *tomlpb.Source, at string, shard *pb.Shard, byID map[string]*pb.Upstream) {
-	var staying []*pb.Upstream
+	var remaining []*pb.Upstream
 	for _, id := range shard.Replicas {
 		if u := byID[id]; u != nil && !u.Leaving {
-			staying = append(staying, u)
+			remaining = append(remaining, u)
 		}
 	}
 	switch {
-	case len(staying) == 0:
-		src.Addf(at, "names leaving upstreams alone: the shard goes missing")
-	case len(staying) == 1:
-		src.Addf(at, "has one upstream that stays: its loss is a loss of coverage")
-	case len(sitesOf(staying)) == 1 && len(r.sites) > 1:
-		src.Addf(at, "stands in one data centre alone")
+	case len(remaining) == 0:
+		src.Addf(at, "names only upstreams that are leaving: answers will lack this shard")
+	case len(remaining) == 1:
+		src.Addf(at, "has only one upstream that is not leaving: its failure lowers coverage")
+	case len(dataCentresOf(remaining)) == 1 && len(r.vmDataCentres) > 1:
+		src.Addf(at, "all upstreams that are not leaving are in one data centre")
 	}
 }
--- a/internal/tomlpb/lines.go
+++ b/internal/tomlpb/lines.go
@@ -8,33 +8,36 @@
 )
 
 const (
-	// maxDepth bounds the parts of a key that are followed, and the nesting of
-	// values; no schema is as deep.
+	// maxDepth limits the parts of a dotted key and the nesting of values that are
+	// indexed. No schema is that deep.
 	maxDepth = 16
-	// maxLines bounds the places remembered. A field beyond them has the line
-	// of its table.
+	// maxLines limits the number of indexed fields. Findings on further fields
+	// give the line of the enclosing table.
 	maxLines = 100_000
 )
 
-// lineIndex maps each field path to its line, following array tables by count.
+// lineIndex maps each field path to its line. The elements of an array table are
+// numbered in the order in which they appear.
 type lineIndex struct {
 	parser unstable.Parser
-	// breaks is the offset of each line's end. The parser's own way to a line
-	// counts from the start of the document for each key: a large document with
-	// many small tables would keep a daemon busy for minutes.
-	breaks []int
-	lines  map[string]int
-	// counts holds how often each array table was opened.
-	counts map[string]int
+	// newlines holds the offset of each newline. The parser's own line look-up
+	// scans from the start of the document for each key, which takes minutes on a
+	// large document with many small tables.
+	newlines []int
+	// lines maps a field path to the first line on which it appears.
+	lines map[string]int
+	// elements counts the elements of each array table so far.
+	elements map[string]int
+	// prefix is the path of the current table.
 	prefix string
 }
 
-// indexLines reads the places of a document that is known to be valid.
+// indexLines returns the line of each field of a valid TOML document.
 func indexLines(data []byte) map[string]int {
-	x := &lineIndex{lines: map[string]int{}, counts: map[string]int{}}
+	x := &lineIndex{lines: map[string]int{}, elements: map[string]int{}}
 	for i, c := range data {
 		if c == '\n' {
-			x.breaks = append(x.breaks, i)
+			x.newlines = append(x.newlines, i)
 		}
 	}
 	x.parser.Reset(data)
@@ -76,36 +79,38 @@
 			if raw := it.Node().Raw; raw.Length > 0 {
 				line = x.line(int(raw.Offset))
 			}
-			x.set(at, line)
+			x.record(at, line)
 			x.value(at, line, it.Node(), depth+1)
 		}
 	}
 }
 
-// path resolves a dotted key below prefix; open starts a new element of the
-// array table the key names.
-func (x *lineIndex) path(prefix string, key unstable.Iterator, open bool) (string, int) {
+// path returns the path and the line of a dotted key below prefix. If newElement
+// is set, the key is the header of an array table and adds an element to it.
+func (x *lineIndex) path(prefix string, key unstable.Iterator, newElement bool) (string, int) {
 	path, line := prefix, 0
 	for depth := 0; key.Next() && depth < maxDepth; depth++ {
 		node := key.Node()
-		path = join(path, string(node.Data))
+		path = joinPath(path, string(node.Data))
 		line = x.line(int(node.Raw.Offset))
-		if open && key.IsLast() {
-			x.counts[path]++
+		if newElement && key.IsLast() {
+			x.elements[path]++
 		}
-		if n := x.counts[path]; n > 0 {
+		if n := x.elements[path]; n > 0 {
 			path = fmt.Sprintf("%s[%d]", path, n-1)
 		}
-		x.set(path, line)
+		x.record(path, line)
 	}
 	return path, line
 }
 
+// line returns the line, from 1, that contains the byte at offset.
 func (x *lineIndex) line(offset int) int {
-	return 1 + sort.SearchInts(x.breaks, offset)
+	return 1 + sort.SearchInts(x.newlines, offset)
 }
 
-func (x *lineIndex) set(path string, line int) {
+// record stores the line of a path unless the path is known or the index full.
+func (x *lineIndex) record(path string, line int) {
 	if len(x.lines) >= maxLines {
 		return
 	}
--- a/internal/tomlpb/tomlpb.go
+++ b/internal/tomlpb/tomlpb.go
@@ -1,6 +1,6 @@
 // Package tomlpb decodes TOML strictly into generated protobuf messages. TOML
-// keys are the schema's field names; an unknown key, a wrong type or a value
-// that does not fit is a finding with its line.
+// keys are the field names of the schema. An unknown key, a wrong type or a value
+// out of range is reported as a finding with its line.
 package tomlpb
 
 import (
@@ -17,27 +17,29 @@
 	"sycamorekeel.example/sycamorekeel/internal/finding"
 )
 
-// MaxBytes is the largest input decoded: the platform's limit for a value.
+// MaxBytes limits the size of the input. It equals the platform's limit for a
+// value.
 const MaxBytes = 1 << 20
 
-// MaxFindings bounds the findings of one input, and maxText the length of each
-// part of one: the findings of a rejected document are kept by every daemon.
+// MaxFindings limits the number of findings of one input, maxTextBytes the length
+// of the field and of the message of each. Every daemon keeps the findings of a
+// rejected document, so they must not grow with the input.
 const (
-	MaxFindings = 200
-	maxText     = 300
+	MaxFindings  = 200
+	maxTextBytes = 300
 )
 
-// Source is a decoded input that still knows where each field stood.
+// Source is a decoded input with the line of each field. It collects findings.
 type Source struct {
 	name     string
 	lines    map[string]int
 	findings finding.List
-	// more counts the findings beyond MaxFindings.
-	more int
+	// omitted is the number of findings beyond MaxFindings.
+	omitted int
 }
 
-// Decode fills msg from data. name stands in the findings. The source is never
-// nil; its findings tell whether msg may be used.
+// Decode fills msg from data; name is the file name in the findings. The returned
+// source is never nil. msg is valid only if the source has no findings.
 func Decode(name string, data []byte, msg proto.Message) *Source {
 	s := &Source{name: name}
 	if len(data) > MaxBytes {
@@ -50,58 +52,60 @@
 		return s
 	}
 	s.lines = indexLines(data)
-	s.table("", tree, msg.ProtoReflect())
+	s.decodeTable("", tree, msg.ProtoReflect())
 	return s
 }
 
-// Locate makes a source of an input that was decoded before, to add findings
-// with their places.
-func Locate(name string, data []byte) *Source {
+// NewSource returns a source for an input that Decode accepted before. Findings
+// added to it get their lines from data.
+func NewSource(name string, data []byte) *Source {
 	return &Source{name: name, lines: indexLines(data)}
 }
 
-// Addf records a finding at a field, for checks that follow decoding.
+// Addf adds a finding on a field. It also serves checks after decoding.
 func (s *Source) Addf(field, format string, args ...any) {
 	s.add(finding.Finding{Line: s.line(field), Field: field, Message: fmt.Sprintf(format, args...)})
 }
 
 func (s *Source) add(f finding.Finding) {
 	if len(s.findings) >= MaxFindings {
-		s.more++
+		s.omitted++
 		return
 	}
 	f.File = s.name
-	f.Field = shorten(f.Field)
-	f.Message = shorten(f.Message)
+	f.Field = truncate(f.Field)
+	f.Message = truncate(f.Message)
 	s.findings = append(s.findings, f)
 }
 
-func shorten(text string) string {
-	if len(text) <= maxText {
+func truncate(text string) string {
+	if len(text) <= maxTextBytes {
 		return text
 	}
-	return strings.ToValidUTF8(text[:maxText], "") + "..."
+	return strings.ToValidUTF8(text[:maxTextBytes], "") + "..."
 }
 
-// Findings is everything found so far, by line.
+// Findings returns the findings so far, sorted by line. If some were omitted, a
+// last finding gives their number.
 func (s *Source) Findings() finding.List {
 	sort.SliceStable(s.findings, func(i, j int) bool {
 		return s.findings[i].Line < s.findings[j].Line
 	})
-	if s.more == 0 {
+	if s.omitted == 0 {
 		return s.findings
 	}
-	rest := finding.Finding{File: s.name, Message: fmt.Sprintf("and %d more findings", s.more)}
+	rest := finding.Finding{File: s.name, Message: fmt.Sprintf("and %d more findings", s.omitted)}
 	return append(s.findings[:len(s.findings):len(s.findings)], rest)
 }
 
-// Has tells whether the field is written in the input.
+// Has reports whether the input contains the field.
 func (s *Source) Has(field string) bool {
 	_, ok := s.lines[field]
 	return ok
 }
 
-// line finds the field or, for one that was left out, its nearest table.
+// line returns the line of the field or, if the input does not contain it, of
+// the nearest enclosing table; 0 if there is none.
 func (s *Source) line(field string) int {
 	for field != "" {
 		if n, ok := s.lines[field]; ok {
@@ -125,94 +129,96 @@
 	s.add(f)
 }
 
-func (s *Source) table(path string, tree map[string]any, msg protoreflect.Message) {
+func (s *Source) decodeTable(path string, tree map[string]any, msg protoreflect.Message) {
 	fields := msg.Descriptor().Fields()
 	for _, key := range sortedKeys(tree) {
-		at := join(path, key)
+		at := joinPath(path, key)
 		fd := fields.ByName(protoreflect.Name(key))
 		if fd == nil {
-			s.Addf(at, "unknown setting; known here: %s", known(fields))
+			s.Addf(at, "unknown setting; known here: %s", fieldNames(fields))
 			continue
 		}
-		s.field(at, tree[key], msg, fd)
+		s.decodeField(at, tree[key], msg, fd)
 	}
 }
 
-func (s *Source) field(at string, v any, msg protoreflect.Message, fd protoreflect.FieldDescriptor) {
+func (s *Source) decodeField(at string, v any, msg protoreflect.Message, fd protoreflect.FieldDescriptor) {
 	if fd.IsList() {
-		s.list(at, v, msg.Mutable(fd).List(), fd)
+		s.decodeList(at, v, msg.Mutable(fd).List(), fd)
 		return
 	}
 	if fd.Kind() == protoreflect.MessageKind {
-		s.message(at, v, msg.Mutable(fd).Message())
+		s.decodeMessage(at, v, msg.Mutable(fd).Message())
 		return
 	}
-	if value, ok := s.scalar(at, v, fd); ok {
+	if value, ok := s.decodeScalar(at, v, fd); ok {
 		msg.Set(fd, value)
 	}
 }
 
-func (s *Source) list(at string, v any, list protoreflect.List, fd protoreflect.FieldDescriptor) {
+func (s *Source) decodeList(at string, v any, list protoreflect.List, fd protoreflect.FieldDescriptor) {
 	items, ok := v.([]any)
 	if !ok {
-		s.Addf(at, "must be a list, not %s", kindOf(v))
+		s.Addf(at, "must be a list, not %s", typeName(v))
 		return
 	}
 	for i, item := range items {
 		place := fmt.Sprintf("%s[%d]", at, i)
 		if fd.Kind() == protoreflect.MessageKind {
-			s.message(place, item, list.AppendMutable().Message())
+			s.decodeMessage(place, item, list.AppendMutable().Message())
 			continue
 		}
-		if value, ok := s.scalar(place, item, fd); ok {
+		if value, ok := s.decodeScalar(place, item, fd); ok {
 			list.Append(value)
 		}
 	}
 }
 
-func (s *Source) message(at string, v any, msg protoreflect.Message) {
+func (s *Source) decodeMessage(at string, v any, msg protoreflect.Message) {
 	tree, ok := v.(map[string]any)
 	if !ok {
-		s.Addf(at, "must be a table, not %s", kindOf(v))
+		s.Addf(at, "must be a table, not %s", typeName(v))
 		return
 	}
-	s.table(at, tree, msg)
+	s.decodeTable(at, tree, msg)
 }
 
-func (s *Source) scalar(at string, v any, fd protoreflect.FieldDescriptor) (protoreflect.Value, bool) {
+func (s *Source) decodeScalar(at string, v any, fd protoreflect.FieldDescriptor) (protoreflect.Value, bool) {
 	switch fd.Kind() {
 	case protoreflect.StringKind:
 		if text, ok := v.(string); ok {
 			return protoreflect.ValueOfString(text), true
 		}
-		return s.wrong(at, "a string", v)
+		return s.addTypeError(at, "a string", v)
 	case protoreflect.BoolKind:
 		if b, ok := v.(bool); ok {
 			return protoreflect.ValueOfBool(b), true
 		}
-		return s.wrong(at, "true or false", v)
+		return s.addTypeError(at, "true or false", v)
 	case protoreflect.DoubleKind:
-		return s.number(at, v)
+		return s.decodeNumber(at, v)
 	case protoreflect.Uint32Kind:
-		n, ok := s.whole(at, v, math.MaxUint32)
+		n, ok := s.decodeInteger(at, v, math.MaxUint32)
 		return protoreflect.ValueOfUint32(uint32(n)), ok
 	case protoreflect.Uint64Kind:
-		n, ok := s.whole(at, v, math.MaxInt64)
+		n, ok := s.decodeInteger(at, v, math.MaxInt64)
 		return protoreflect.ValueOfUint64(uint64(n)), ok
 	case protoreflect.EnumKind:
-		return s.enum(at, v, fd.Enum().Values())
+		return s.decodeEnum(at, v, fd.Enum().Values())
 	default:
 		s.Addf(at, "cannot be set from TOML")
 		return protoreflect.Value{}, false
 	}
 }
 
-func (s *Source) wrong(at, want string, v any) (protoreflect.Value, bool) {
-	s.Addf(at, "must be %s, not %s", want, kindOf(v))
+// addTypeError adds a finding on a value of the wrong type. Its results are those
+// of a failed conversion.
+func (s *Source) addTypeError(at, want string, v any) (protoreflect.Value, bool) {
+	s.Addf(at, "must be %s, not %s", want, typeName(v))
 	return protoreflect.Value{}, false
 }
 
-func (s *Source) number(at string, v any) (protoreflect.Value, bool) {
+func (s *Source) decodeNumber(at string, v any) (protoreflect.Value, bool) {
 	switch n := v.(type) {
 	case float64:
 		if math.IsNaN(n) || math.IsInf(n, 0) {
@@ -223,26 +229,28 @@
 	case int64:
 		return protoreflect.ValueOfFloat64(float64(n)), true
 	}
-	return s.wrong(at, "a number", v)
+	return s.addTypeError(at, "a number", v)
 }
 
-func (s *Source) whole(at string, v any, most int64) (int64, bool) {
+func (s *Source) decodeInteger(at string, v any, max int64) (int64, bool) {
 	n, ok := v.(int64)
 	if !ok {
-		s.Addf(at, "must be a whole number, not %s", kindOf(v))
+		s.Addf(at, "must be a whole number, not %s", typeName(v))
 		return 0, false
 	}
-	if n < 0 || n > most {
-		s.Addf(at, "must be from 0 to %d, not %d", most, n)
+	if n < 0 || n > max {
+		s.Addf(at, "must be from 0 to %d, not %d", max, n)
 		return 0, false
 	}
 	return n, true
 }
 
-func (s *Source) enum(at string, v any, values protoreflect.EnumValueDescriptors) (protoreflect.Value, bool) {
+// decodeEnum accepts the lower-case name of any value but the first, which is the
+// unspecified one.
+func (s *Source) decodeEnum(at string, v any, values protoreflect.EnumValueDescriptors) (protoreflect.Value, bool) {
 	text, ok := v.(string)
 	if !ok {
-		return s.wrong(at, "a string", v)
+		return s.addTypeError(at, "a string", v)
 	}
 	var allowed []string
 	for i := 1; i < values.Len(); i++ {
@@ -256,14 +264,14 @@
 	return protoreflect.Value{}, false
 }
 
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
 	return path + "." + key
 }
 
-func known(fields protoreflect.FieldDescriptors) string {
+func fieldNames(fields protoreflect.FieldDescriptors) string {
 	names := make([]string, fields.Len())
 	for i := range names {
 		names[i] = string(fields.Get(i).Name())
@@ -272,7 +280,7 @@
 	return strings.Join(names, ", ")
 }
 
-func kindOf(v any) string {
+func typeName(v any) string {
 	switch v.(type) {
 	case string:
 		return "a string"
--- a/internal/tomlpb/tomlpb_test.go
+++ b/internal/tomlpb/tomlpb_test.go
@@ -15,9 +15,9 @@
 	}{
 		{"nothing", "", nil},
 		{"syntax", "[[vms]]\nid = \n", []string{"f:2: "}},
-		{"a key twice", "[[vms]]\nid = \"a\"\nid = \"b\"\n", []string{"f:3: "}},
+		{"a duplicate key", "[[vms]]\nid = \"a\"\nid = \"b\"\n", []string{"f:3: "}},
 		{"unknown keys", "one = 1\n\n[[vms]]\ntwo = 2\n", []string{"f:1: one: unknown setting", "f:4: vms[0].two: unknown setting"}},
-		{"known keys are named", "one = 1\n", []string{"known here: customers, services, vms"}},
+		{"known keys are listed", "one = 1\n", []string{"known here: customers, services, vms"}},
 		{"a table for a list", "[vms]\nid = \"a\"\n", []string{"f:1: vms: must be a list, not a table"}},
 		{"a value for a table", "vms = [1]\n", []string{"f:1: vms[0]: must be a table, not a whole number"}},
 		{"a number for a string", "[[vms]]\nid = 3\n", []string{"f:2: vms[0].id: must be a string, not a whole number"}},
@@ -27,18 +27,18 @@
 		{"below the range", "[[services]]\n[[services.upstreams]]\nslots = -1\n", []string{"must be from 0 to 4294967295, not -1"}},
 		{"above the range", "[[services]]\n[[services.upstreams]]\nslots = 4294967296\n", []string{"must be from 0 to 4294967295"}},
 		{"not finite", "[[customers]]\n[[customers.kinds]]\nrate_per_second = inf\n", []string{"f:3: customers[0].kinds[0].rate_per_second: must be a finite number"}},
-		{"an unknown word", "[[vms]]\nstate = \"alive\"\n", []string{"f:2: vms[0].state: must be one of live, vm_leaving, not \"alive\""}},
+		{"an unknown enum value", "[[vms]]\nstate = \"alive\"\n", []string{"f:2: vms[0].state: must be one of live, vm_leaving, not \"alive\""}},
 		{"the second element", "[[vms]]\nid = \"a\"\n[[vms]]\nid = 1\n", []string{"f:4: vms[1].id"}},
 		{"a list over lines", "[[customers]]\ntoken_sha256 = [\n  \"a\",\n  2,\n]\n", []string{"f:4: customers[0].token_sha256[1]"}},
 		{"an inline table", "vms = [{id = 1}]\n", []string{"f:1: vms[0].id"}},
-		{"all at once", "[[vms]]\nid = 1\nregion = 2\nrack = 3\n", []string{"f:2", "f:3", "f:4"}},
+		{"several findings", "[[vms]]\nid = 1\nregion = 2\nrack = 3\n", []string{"f:2", "f:3", "f:4"}},
 		{"too large", strings.Repeat("#", tomlpb.MaxBytes+1), []string{"f: is 1048577 bytes long; at most 1048576 are allowed"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			got := tomlpb.Decode("f", []byte(tt.input), &pb.Document{}).Findings()
 			if len(tt.want) == 0 && len(got) > 0 {
-				t.Fatalf("found %s", got)
+				t.Fatalf("unexpected findings:\n%s", got)
 			}
 			for _, want := range tt.want {
 				if !strings.Contains(got.String(), want) {
@@ -49,13 +49,12 @@
 	}
 }
 
-// Symptom: a daemon is busy for minutes, or runs out of memory, on one published
-// value of a permitted size.
-// Sequence: the value has very many small tables, or keys of very many parts, or
-// as many faults.
-// Cause: counting lines from the start for each key; remembering each prefix of
-// a long key; keeping each finding.
-func TestHardInputsAreBounded(t *testing.T) {
+// TestPathologicalInputsAreBounded guards against a daemon that is busy for
+// minutes or runs out of memory on one published value of permitted size. The
+// value has very many small tables, keys with very many parts, or very many
+// errors. The cost came from counting lines from the start for each key, storing
+// each prefix of a long key, and keeping each finding.
+func TestPathologicalInputsAreBounded(t *testing.T) {
 	tests := []struct{ name, input string }{
 		{"nested lists", "a = " + strings.Repeat("[", 500_000) + strings.Repeat("]", 500_000)},
 		{"nested tables", "a = " + strings.Repeat("{a=", 200_000) + "1" + strings.Repeat("}", 200_000)},
