--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads a daemon's TOML settings, checks them and fills in
-// the defaults. Every fault is reported with its line, all at once.
+// Package settings reads a daemon's TOML settings, validates them and fills in
+// the defaults. It reports all errors of a file together, each with its line.
 package settings
 
 import (
@@ -22,7 +22,8 @@
 	DefaultMaxBodyBytes   = 256 << 10
 	DefaultMaxHeaderBytes = 16 << 10
 	DefaultMaxConnections = 4096
-	// DefaultMaxConnectionsPerIP leaves room for others beside one caller.
+	// DefaultMaxConnectionsPerIP is below DefaultMaxConnections, so that one
+	// caller cannot take all connections.
 	DefaultMaxConnectionsPerIP = 1024
 	DefaultMaxQueries          = 2048
 	DefaultMaxQueue            = 256
@@ -46,10 +47,11 @@
 	hashPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 )
 
-// logLevels is every level that may be set.
+// logLevels lists the valid values of log.level.
 var logLevels = []string{"debug", "info", "warn", "error"}
 
-// Load reads and checks the settings file at path.
+// Load reads and validates the settings file at path. All findings are in the
+// error.
 func Load(path string) (*pb.Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -59,8 +61,8 @@
 	return s, trace.Wrap(findings.Err())
 }
 
-// Parse checks settings and fills in the defaults. The settings may be used
-// only when there are no findings.
+// Parse decodes and validates settings and fills in the defaults; name is the
+// file name in the findings. The settings are valid only if there are no findings.
 func Parse(name string, data []byte) (*pb.Settings, finding.List) {
 	s := &pb.Settings{}
 	src := tomlpb.Decode(name, data, s)
@@ -73,7 +75,7 @@
 	return s, src.Findings()
 }
 
-// SetDefaults fills in what was left out.
+// SetDefaults sets every optional setting that is missing to its default.
 func SetDefaults(s *pb.Settings) {
 	if s.Routing == pb.Routing_ROUTING_UNSPECIFIED {
 		s.Routing = pb.Routing_OWNER
@@ -112,9 +114,9 @@
 	if s.Rack != "" {
 		checkName(src, "rack", s.Rack)
 	}
-	checkTold(src, "caller_address", s.CallerAddress)
+	checkAdvertised(src, "caller_address", s.CallerAddress)
 	checkAddress(src, "operator_address", s.OperatorAddress)
-	checkTold(src, "peer_address", s.PeerAddress)
+	checkAdvertised(src, "peer_address", s.PeerAddress)
 	checkAddress(src, "platform_address", s.PlatformAddress)
 	for i, seed := range s.Seeds {
 		checkAddress(src, fmt.Sprintf("seeds[%d]", i), seed)
@@ -123,15 +125,15 @@
 	if s.OperatorTokenSha256 != "" && !hashPattern.MatchString(s.OperatorTokenSha256) {
 		src.Addf("operator_token_sha256", "must be 64 lower-case hex digits")
 	}
-	checkKeys(src, s.PeerKeys)
+	checkPeerKeys(src, s.PeerKeys)
 	checkLimits(src, s.Limits)
 	if !slices.Contains(logLevels, s.Log.Level) {
 		src.Addf("log.level", "must be one of %s, not %q", strings.Join(logLevels, ", "), s.Log.Level)
 	}
 }
 
-// checkZeros refuses a limit that is written as 0: it would silently become the
-// default, while its writer meant none or no limit.
+// checkZeros rejects a limit that is written as 0. It would silently become the
+// default, although the operator probably meant "none" or "unlimited".
 func checkZeros(src *tomlpb.Source, l *pb.Limits) {
 	m := l.ProtoReflect()
 	fields := m.Descriptor().Fields()
@@ -143,7 +145,8 @@
 	}
 }
 
-// checkDistinct refuses two of the daemon's interfaces on one address.
+// checkDistinct rejects settings in which two interfaces of the daemon have the
+// same address.
 func checkDistinct(src *tomlpb.Source, s *pb.Settings) {
 	seen := map[string]string{}
 	for _, own := range []struct{ at, address string }{
@@ -170,9 +173,10 @@
 	}
 }
 
-// checkTold checks an address that others are told to connect to: with one that
-// only serves to listen on, this VM would be probed in vain and held dead.
-func checkTold(src *tomlpb.Source, at, text string) {
+// checkAdvertised checks an address that is advertised to callers or peers. If it
+// were valid only for listening, such as 0.0.0.0, probes of this VM would fail
+// and its peers would declare it dead.
+func checkAdvertised(src *tomlpb.Source, at, text string) {
 	address, err := netip.ParseAddrPort(text)
 	switch {
 	case err != nil:
@@ -182,10 +186,10 @@
 	}
 }
 
-// checkKeys never repeats a secret in a finding.
-func checkKeys(src *tomlpb.Source, keys []*pb.PeerKey) {
+// checkPeerKeys checks the peer keys. Its findings never contain a secret.
+func checkPeerKeys(src *tomlpb.Source, keys []*pb.PeerKey) {
 	if len(keys) == 0 {
-		src.Addf("peer_keys", "must hold at least one key: peers are let in by it")
+		src.Addf("peer_keys", "must hold at least one key: peers authenticate with it")
 	}
 	seen := map[string]bool{}
 	for i, k := range keys {
@@ -213,8 +217,8 @@
 	checkRange(src, "limits.max_reply_bytes", l.MaxReplyBytes, maxBytes)
 }
 
-func checkRange(src *tomlpb.Source, at string, v, most uint32) {
-	if v < 1 || v > most {
-		src.Addf(at, "must be from 1 to %d, not %d", most, v)
+func checkRange(src *tomlpb.Source, at string, v, max uint32) {
+	if v < 1 || v > max {
+		src.Addf(at, "must be from 1 to %d, not %d", max, v)
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -33,11 +33,11 @@
 		{"data centre", `"d1"`, `""`, "f:3: data_centre: "},
 		{"rack", "seeds", "rack = \"A B\"\nseeds", "f:8: rack: "},
 		{"host name", "10.0.0.1:1", "localhost:1", "f:4: caller_address: must be an IP and port"},
-		{"caller address to listen on only", "10.0.0.1:1", "0.0.0.0:1", "f:4: caller_address: must be an address that others can connect to"},
-		{"peer address to listen on only", "10.0.0.1:3", "[::]:3", "f:6: peer_address: must be an address that others can connect to"},
+		{"caller address for listening only", "10.0.0.1:1", "0.0.0.0:1", "f:4: caller_address: must be an address that others can connect to"},
+		{"peer address for listening only", "10.0.0.1:3", "[::]:3", "f:6: peer_address: must be an address that others can connect to"},
 		{"peer port 0", "10.0.0.1:3", "10.0.0.1:0", "f:6: peer_address: must be an address that others can connect to"},
 		{"no port", "10.0.0.1:2", "10.0.0.1", "f:5: operator_address: must be an IP and port"},
-		{"one address for two", "10.0.0.1:3", "10.0.0.1:1", "f:6: peer_address: must differ from caller_address"},
+		{"one address for two interfaces", "10.0.0.1:3", "10.0.0.1:1", "f:6: peer_address: must differ from caller_address"},
 		{"platform left out", "platform_address = \"10.0.0.9:1\"\n", "", "platform_address: must be an IP and port"},
 		{"second seed", `["10.0.0.2:3"]`, `["10.0.0.2:3", "x"]`, "f:8: seeds[1]: must be an IP and port"},
 		{"operator token", "seeds", "operator_token_sha256 = \"secret\"\nseeds", "f:8: operator_token_sha256: must be 64 lower-case hex digits"},
@@ -60,7 +60,7 @@
 				t.Errorf("want one finding with %q, got\n%s", tt.want, got)
 			}
 			if strings.Contains(got.String(), "0123") || strings.Contains(got.String(), "secret\"") {
-				t.Errorf("a finding repeats a secret:\n%s", got)
+				t.Errorf("a finding contains a secret:\n%s", got)
 			}
 		})
 	}
@@ -69,7 +69,8 @@
 	}
 }
 
-// FuzzParse feeds any bytes to the settings: no panic, findings bounded.
+// FuzzParse checks that arbitrary bytes cause no panic and that the number of
+// findings is bounded.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(valid))
 	for _, user := range []string{"leasing", "wikiforos"} {
