--- a/internal/finding/finding.go
+++ b/internal/finding/finding.go
@@ -1,5 +1,6 @@
-// Package finding collects everything that is wrong with an input, each with
-// its place, so that an operator mends a file in one round.
+// Package finding represents the errors of an input, such as a settings file,
+// with their locations. All errors are reported together, so that an operator can
+// fix a file in one pass.
 package finding
 
 import (
@@ -9,19 +10,21 @@
 	"github.com/gravitational/trace"
 )
 
-// Finding is one fault of an input.
+// Finding is one error in an input.
 type Finding struct {
 	// File is the name of the input.
 	File string `json:"file"`
-	// Line counts from 1; 0 means that the place is the whole input.
+	// Line is the line number, from 1; 0 means that the finding has no line.
 	Line int `json:"line"`
-	// Field is the path of the setting, as in customers[0].kinds[1].weight.
+	// Field is the path of the field, such as customers[0].kinds[1].weight. It is
+	// empty for a finding on the whole input.
 	Field string `json:"field"`
-	// Message says what is wrong and what is allowed.
+	// Message describes the error and the valid values.
 	Message string `json:"message"`
 }
 
-// String renders the finding as file:line: field: message.
+// String formats the finding as "file:line: field: message", without the line or
+// the field if it has none.
 func (f Finding) String() string {
 	var b strings.Builder
 	b.WriteString(f.File)
@@ -34,11 +37,11 @@
 	return b.String() + ": " + f.Message
 }
 
-// List is every finding of one or more inputs.
+// List is a list of findings in one or more inputs.
 type List []Finding
 
-// Err is nil for an empty list, else a trace.BadParameter error with one line a
-// finding.
+// Err returns nil for an empty list, otherwise a trace.BadParameter error with one
+// line per finding.
 func (l List) Err() error {
 	if len(l) == 0 {
 		return nil
@@ -46,7 +49,7 @@
 	return trace.BadParameter("%s", l.String())
 }
 
-// String renders one finding a line.
+// String formats the list with one finding per line.
 func (l List) String() string {
 	lines := make([]string, len(l))
 	for i, f := range l {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,6 +1,7 @@
-// Package platform reads the configuration service. It can only be read and
-// watched; each call, a waiting watch too, counts against the service's limit.
-// It decides nothing about what it reads.
+// Package platform is a client of the platform's configuration service. The
+// service can only be read and watched, and each call counts against its limit,
+// including a watch that waits. The package checks the form of answers but not
+// the contents of documents.
 package platform
 
 import (
@@ -20,27 +21,28 @@
 )
 
 const (
-	// maxReply bounds a page with its JSON overhead.
-	maxReply = 4 * config.MaxPageBytes
-	// answerTime is how long an answer may take beyond the wait asked for.
-	answerTime  = 5 * time.Second
-	dialTimeout = time.Second
+	// maxResponseBytes limits the size of a page including its JSON overhead.
+	maxResponseBytes = 4 * config.MaxPageBytes
+	// responseTimeout is how long a response may take beyond the requested wait.
+	responseTimeout = 5 * time.Second
+	dialTimeout     = time.Second
 )
 
-// ChangesPath is where changes are read and watched.
+// ChangesPath is the URL path at which changes are read and watched.
 const ChangesPath = "/v1/changes"
 
 // Changes is the JSON answer of ChangesPath.
 type Changes struct {
 	// Revision is the highest revision the answer covers.
 	Revision uint64 `json:"revision"`
-	// Documents is every change above the revision asked about, lowest first.
+	// Documents holds the changes above the requested revision in ascending order
+	// of revision.
 	Documents []Document `json:"documents"`
-	// More says that changes above Revision are left out.
+	// More reports that there are changes above Revision that the answer omits.
 	More bool `json:"more"`
 }
 
-// Document is one value in a Changes answer; Body is base64 in JSON.
+// Document is one document in a Changes answer. Body is base64 in JSON.
 type Document struct {
 	Name     string `json:"name"`
 	Revision uint64 `json:"revision"`
@@ -48,18 +50,19 @@
 	Deleted  bool   `json:"deleted"`
 }
 
-// Error is a read that brought nothing.
+// Error describes a failed read.
 type Error struct {
 	Reason config.FailureReason
 	Detail string
 }
 
-// Error gives the reason and the detail.
+// Error returns the reason and the detail.
 func (e *Error) Error() string {
 	return fmt.Sprintf("platform %s: %s", e.Reason, e.Detail)
 }
 
-// ReasonOf is the reason of a failed read.
+// ReasonOf returns the reason of a failed read. It is config.Unreachable if err
+// does not wrap an *Error.
 func ReasonOf(err error) config.FailureReason {
 	var e *Error
 	if errors.As(err, &e) {
@@ -68,7 +71,7 @@
 	return config.Unreachable
 }
 
-func failed(reason config.FailureReason, format string, args ...any) error {
+func newError(reason config.FailureReason, format string, args ...any) error {
 	return trace.Wrap(&Error{Reason: reason, Detail: fmt.Sprintf(format, args...)})
 }
 
@@ -76,25 +79,27 @@
 type Client struct {
 	http *fasthttp.HostClient
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// conns holds the open connections; nil after Close.
 	conns  map[net.Conn]struct{}
 	closed bool
 }
 
-// NewClient reads the service at address (IP and port).
+// NewClient returns a client of the service at address (IP and port).
 func NewClient(address string) *Client {
 	c := &Client{conns: map[net.Conn]struct{}{}}
 	c.http = &fasthttp.HostClient{
 		Addr:                      address,
 		MaxConns:                  2,
-		MaxResponseBodySize:       maxReply,
+		MaxResponseBodySize:       maxResponseBytes,
 		MaxIdemponentCallAttempts: 1,
 		Dial:                      c.dial,
 	}
 	return c
 }
 
-// Close breaks off a watch that waits: a planned stop must not wait for it.
+// Close closes all connections. This ends a watch that waits, so that a planned
+// stop need not wait for it. Later calls fail.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -121,7 +126,7 @@
 	return &trackedConn{Conn: conn, client: c}, nil
 }
 
-// trackedConn leaves the client's set when it is closed.
+// trackedConn removes itself from the client's connections when it is closed.
 type trackedConn struct {
 	net.Conn
 	client *Client
@@ -134,8 +139,9 @@
 	return t.Conn.Close()
 }
 
-// Changes reads the page of changes above a revision, waiting up to wait for
-// the first one. A wait of 0 answers at once. The error is an *Error.
+// Changes reads a page of changes above a revision. If there are none, the service
+// waits up to wait for one; with a wait of 0 it answers at once. The error wraps
+// an *Error.
 func (c *Client) Changes(after uint64, wait time.Duration) (config.Page, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -144,11 +150,11 @@
 	args := req.URI().QueryArgs()
 	args.Set("after", strconv.FormatUint(after, 10))
 	args.Set("wait_ms", strconv.FormatInt(wait.Milliseconds(), 10))
-	if err := c.http.DoTimeout(req, resp, wait+answerTime); err != nil {
-		return config.Page{}, failed(transportReason(err), "%v", err)
+	if err := c.http.DoTimeout(req, resp, wait+responseTimeout); err != nil {
+		return config.Page{}, newError(transportReason(err), "%v", err)
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
-		return config.Page{}, failed(config.Refused, "status %d", resp.StatusCode())
+		return config.Page{}, newError(config.Refused, "status %d", resp.StatusCode())
 	}
 	return Decode(after, resp.Body())
 }
@@ -160,19 +166,19 @@
 	return config.Unreachable
 }
 
-// Decode reads an answer about the changes above a revision. It takes an answer
-// as a whole or not at all: of a page that breaks a rule nothing can be trusted,
-// the revision least, and a watermark too high would hide a change for ever.
+// Decode decodes an answer with the changes above a revision. It rejects the whole
+// answer if any part is invalid, because then its revision cannot be trusted
+// either: a revision that is too high would hide a change for ever.
 func Decode(after uint64, body []byte) (config.Page, error) {
 	var reply Changes
 	if err := json.Unmarshal(body, &reply); err != nil {
-		return config.Page{}, failed(config.Malformed, "%v", err)
+		return config.Page{}, newError(config.Malformed, "%v", err)
 	}
 	page := config.Page{After: after, Revision: reply.Revision, More: reply.More}
 	last := after
 	for i, d := range reply.Documents {
 		if err := checkDocument(&d, last, reply.Revision); err != nil {
-			return config.Page{}, failed(config.Malformed, "documents[%d] %v", i, err)
+			return config.Page{}, newError(config.Malformed, "documents[%d] %v", i, err)
 		}
 		last = d.Revision
 		page.Documents = append(page.Documents, &pb.PublishedDocument{
@@ -180,11 +186,13 @@
 		})
 	}
 	if page.More && last != page.Revision {
-		return config.Page{}, failed(config.Malformed, "a page with more to come must end at its revision %d, not %d", page.Revision, last)
+		return config.Page{}, newError(config.Malformed, "a page with more to come must end at its revision %d, not %d", page.Revision, last)
 	}
 	return page, nil
 }
 
+// checkDocument checks a document of a page with the given revision; last is the
+// revision of the document before it.
 func checkDocument(d *Document, last, revision uint64) error {
 	switch {
 	case d.Name == "":
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -12,6 +12,7 @@
 	"sycamorekeel.example/sycamorekeel/internal/standin"
 )
 
+// start starts a platform and a client of it.
 func start(t *testing.T) (*standin.Platform, *platform.Client) {
 	t.Helper()
 	p, err := standin.StartPlatform()
@@ -49,7 +50,7 @@
 	}
 }
 
-func TestWatchReturnsWithTheChange(t *testing.T) {
+func TestWatchReturnsOnChange(t *testing.T) {
 	p, c := start(t)
 	p.Publish("a", nil)
 	got := make(chan config.Page, 1)
@@ -66,10 +67,9 @@
 	}
 }
 
-// Symptom: a planned stop takes as long as a watch.
-// Sequence: a watch waits at the platform when the daemon stops.
-// Cause: nothing breaks off the call.
-func TestCloseBreaksOffAWatch(t *testing.T) {
+// TestCloseEndsWatch guards against a planned stop that takes as long as a watch:
+// the daemon stops while a watch waits at the platform and nothing ends the call.
+func TestCloseEndsWatch(t *testing.T) {
 	p, err := standin.StartPlatform()
 	if err != nil {
 		t.Fatal(err)
@@ -100,10 +100,11 @@
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"))
 }
 
-// Symptom: a daemon takes a broken answer for the newest configuration, or ends.
-// Sequence: the platform is down, overloaded, behind a proxy, or answers in part.
-// Cause: an answer that is trusted before it is whole and keeps the rules.
-func TestFaults(t *testing.T) {
+// TestFailedReads guards against a daemon that accepts an invalid answer as the
+// newest configuration, or crashes on it. Such answers come from a platform that
+// is down, overloaded, behind a proxy, or that truncates them. An answer must be
+// complete and valid before any part of it is used.
+func TestFailedReads(t *testing.T) {
 	fixed := func(text string) func([]byte) []byte {
 		return func([]byte) []byte { return []byte(text) }
 	}
@@ -113,7 +114,7 @@
 		want   config.FailureReason
 	}{
 		{"empty", fixed(""), config.Malformed},
-		{"a page of a proxy", fixed("<html>"), config.Malformed},
+		{"an HTML page of a proxy", fixed("<html>"), config.Malformed},
 		{"cut off", func(b []byte) []byte { return b[:len(b)/2] }, config.Malformed},
 		{"too large", func([]byte) []byte { return bytes.Repeat([]byte(" "), 5<<20) }, config.Malformed},
 		{"not an object", fixed("[]"), config.Malformed},
@@ -121,11 +122,11 @@
 		{"a revision that does not fit", fixed(`{"revision":18446744073709551616}`), config.Malformed},
 		{"a document without a name", fixed(`{"revision":3,"documents":[{"revision":3}]}`), config.Malformed},
 		{"a document without a revision", fixed(`{"revision":3,"documents":[{"name":"a"}]}`), config.Malformed},
-		{"a document above the page", fixed(`{"revision":3,"documents":[{"name":"a","revision":4}]}`), config.Malformed},
+		{"a document above the revision of the page", fixed(`{"revision":3,"documents":[{"name":"a","revision":4}]}`), config.Malformed},
 		{"documents out of order", fixed(`{"revision":3,"documents":[{"name":"a","revision":3},{"name":"b","revision":2}]}`), config.Malformed},
 		{"a body that is not base64", fixed(`{"revision":3,"documents":[{"name":"a","revision":3,"body":"%"}]}`), config.Malformed},
-		{"more, but the page claims what it left out", fixed(`{"revision":3,"more":true,"documents":[{"name":"a","revision":2}]}`), config.Malformed},
-		{"more, but nothing", fixed(`{"revision":3,"more":true}`), config.Malformed},
+		{"more, but a revision above the last document", fixed(`{"revision":3,"more":true,"documents":[{"name":"a","revision":2}]}`), config.Malformed},
+		{"more, but no documents", fixed(`{"revision":3,"more":true}`), config.Malformed},
 	}
 	p, c := start(t)
 	p.Publish("a", []byte("text"))
@@ -140,7 +141,7 @@
 	}
 	p.SetGarble(nil)
 	if _, err := c.Changes(0, 0); err != nil {
-		t.Errorf("a good answer after the bad ones: %v", err)
+		t.Errorf("a valid answer after the invalid ones: %v", err)
 	}
 	p.SetDown(true)
 	if _, err := c.Changes(0, 0); platform.ReasonOf(err) != config.Refused {
@@ -152,8 +153,7 @@
 	}
 }
 
-// FuzzDecode feeds any bytes as an answer: a page keeps the rules or there is an
-// error.
+// FuzzDecode checks that arbitrary bytes give either a valid page or an error.
 func FuzzDecode(f *testing.F) {
 	f.Add(uint64(0), []byte(`{"revision":3,"documents":[{"name":"a","revision":2,"body":"YQ=="}],"more":false}`))
 	f.Add(uint64(1), []byte(`{"revision":2,"documents":[{"name":"a","revision":2,"deleted":true}],"more":true}`))
