--- a/internal/contract/warnings.go
+++ b/internal/contract/warnings.go
@@ -95,24 +95,24 @@
 	return src.Findings()
 }
 
-func (r *review) kind(src *tomlpb.Source, at string, k *pb.Kind) {
+func (r *review) kind(src *tomlpb.Source, field string, k *pb.Kind) {
 	if k.SoftDeadlineMs > 0 && k.CoverageFloor >= 1 {
-		src.Addf(at+".soft_deadline_ms", "has no effect: with coverage_floor 1 no answer is given early")
+		src.Addf(field+".soft_deadline_ms", "has no effect: with coverage_floor 1 no answer is given early")
 	}
 	if k.CoverageFloor == 0 {
-		src.Addf(at+".coverage_floor", "is 0: an answer without any data counts as good")
+		src.Addf(field+".coverage_floor", "is 0: an answer without any data counts as good")
 	}
 	if k.WaitForFull && k.CoverageFloor >= 1 {
-		src.Addf(at+".wait_for_full", "has no effect: coverage_floor 1 waits anyway")
+		src.Addf(field+".wait_for_full", "has no effect: coverage_floor 1 waits anyway")
 	}
 	if k.Idempotent && k.HedgePercent == 0 && k.RetryPercent == 0 {
-		src.Addf(at, "has neither hedges nor retries: one slow or lost upstream sets its latency and coverage")
+		src.Addf(field, "has neither hedges nor retries: one slow or lost upstream sets its latency and coverage")
 	}
 	if k.Merge == pb.Merge_SINGLE && k.MaxHits > 1 {
-		src.Addf(at+".max_hits", "has no effect: merge single returns the answer of one shard")
+		src.Addf(field+".max_hits", "has no effect: merge single returns the answer of one shard")
 	}
 	if k.DeadlineMs < minCrossRegionMS && r.spansDataCentres(k.Service) {
-		src.Addf(at+".deadline_ms", "is below %d ms, about the fastest answer that needs another region", minCrossRegionMS)
+		src.Addf(field+".deadline_ms", "is below %d ms, about the fastest answer that needs another region", minCrossRegionMS)
 	}
 }
 
@@ -129,28 +129,28 @@
 	return out
 }
 
-func (r *review) service(src *tomlpb.Source, at string, s *pb.Service) {
+func (r *review) service(src *tomlpb.Source, field string, s *pb.Service) {
 	slots := 0.0
 	byID := map[string]*pb.Upstream{}
 	for i, u := range s.Upstreams {
 		byID[u.Id] = u
 		slots += float64(u.Slots)
 		if len(r.vmDataCentres) > 0 && !r.vmDataCentres[u.DataCentre] {
-			src.Addf(fmt.Sprintf("%s.upstreams[%d].data_centre", at, i), "%q has no VM: each sub-request comes from another data centre", u.DataCentre)
+			src.Addf(fmt.Sprintf("%s.upstreams[%d].data_centre", field, i), "%q has no VM: each sub-request comes from another data centre", u.DataCentre)
 		}
 	}
 	for i, m := range s.Maps {
-		place := fmt.Sprintf("%s.maps[%d]", at, i)
+		element := fmt.Sprintf("%s.maps[%d]", field, i)
 		for j, shard := range m.Shards {
-			r.shard(src, fmt.Sprintf("%s.shards[%d].replicas", place, j), shard, byID)
+			r.shard(src, fmt.Sprintf("%s.shards[%d].replicas", element, j), shard, byID)
 		}
 		if want := r.demandByService[s.Name].slots(len(m.Shards)); want > maxDemandPerSlot*slots {
-			src.Addf(at, "its customers may take %.0f slots at once over the %d shards of maps[%d]; its upstreams have %.0f", want, len(m.Shards), i, slots)
+			src.Addf(field, "its customers may take %.0f slots at once over the %d shards of maps[%d]; its upstreams have %.0f", want, len(m.Shards), i, slots)
 		}
 	}
 }
 
-func (r *review) shard(src *tomlpb.Source, at string, shard *pb.Shard, byID map[string]*pb.Upstream) {
+func (r *review) shard(src *tomlpb.Source, field string, shard *pb.Shard, byID map[string]*pb.Upstream) {
 	var remaining []*pb.Upstream
 	for _, id := range shard.Replicas {
 		if u := byID[id]; u != nil && !u.Leaving {
@@ -159,10 +159,10 @@
 	}
 	switch {
 	case len(remaining) == 0:
-		src.Addf(at, "names only upstreams that are leaving: answers will lack this shard")
+		src.Addf(field, "names only upstreams that are leaving: answers will lack this shard")
 	case len(remaining) == 1:
-		src.Addf(at, "has only one upstream that is not leaving: its failure lowers coverage")
+		src.Addf(field, "has only one upstream that is not leaving: its failure lowers coverage")
 	case len(dataCentresOf(remaining)) == 1 && len(r.vmDataCentres) > 1:
-		src.Addf(at, "all upstreams that are not leaving are in one data centre")
+		src.Addf(field, "all upstreams that are not leaving are in one data centre")
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -138,9 +138,9 @@
 	m := l.ProtoReflect()
 	fields := m.Descriptor().Fields()
 	for i := range fields.Len() {
-		at := "limits." + string(fields.Get(i).Name())
-		if src.Has(at) && !m.Has(fields.Get(i)) {
-			src.Addf(at, "must be at least 1; leave it out for the default")
+		field := "limits." + string(fields.Get(i).Name())
+		if src.Has(field) && !m.Has(fields.Get(i)) {
+			src.Addf(field, "must be at least 1; leave it out for the default")
 		}
 	}
 }
@@ -149,40 +149,40 @@
 // same address.
 func checkDistinct(src *tomlpb.Source, s *pb.Settings) {
 	seen := map[string]string{}
-	for _, own := range []struct{ at, address string }{
+	for _, own := range []struct{ field, address string }{
 		{"caller_address", s.CallerAddress},
 		{"operator_address", s.OperatorAddress},
 		{"peer_address", s.PeerAddress},
 	} {
 		if first, ok := seen[own.address]; ok && own.address != "" {
-			src.Addf(own.at, "must differ from %s", first)
+			src.Addf(own.field, "must differ from %s", first)
 		}
-		seen[own.address] = own.at
+		seen[own.address] = own.field
 	}
 }
 
-func checkName(src *tomlpb.Source, at, name string) {
+func checkName(src *tomlpb.Source, field, name string) {
 	if !namePattern.MatchString(name) {
-		src.Addf(at, "must be 1 to 63 of a-z, 0-9, '.', '_', '-', starting with a letter or digit, not %q", name)
+		src.Addf(field, "must be 1 to 63 of a-z, 0-9, '.', '_', '-', starting with a letter or digit, not %q", name)
 	}
 }
 
-func checkAddress(src *tomlpb.Source, at, text string) {
+func checkAddress(src *tomlpb.Source, field, text string) {
 	if _, err := netip.ParseAddrPort(text); err != nil {
-		src.Addf(at, "must be an IP and port, not %q", text)
+		src.Addf(field, "must be an IP and port, not %q", text)
 	}
 }
 
 // checkAdvertised checks an address that is advertised to callers or peers. If it
 // were valid only for listening, such as 0.0.0.0, probes of this VM would fail
 // and its peers would declare it dead.
-func checkAdvertised(src *tomlpb.Source, at, text string) {
+func checkAdvertised(src *tomlpb.Source, field, text string) {
 	address, err := netip.ParseAddrPort(text)
 	switch {
 	case err != nil:
-		checkAddress(src, at, text)
+		checkAddress(src, field, text)
 	case address.Port() == 0 || address.Addr().IsUnspecified() || address.Addr().IsMulticast():
-		src.Addf(at, "must be an address that others can connect to, not %q", text)
+		src.Addf(field, "must be an address that others can connect to, not %q", text)
 	}
 }
 
@@ -193,14 +193,14 @@
 	}
 	seen := map[string]bool{}
 	for i, k := range keys {
-		at := fmt.Sprintf("peer_keys[%d]", i)
-		checkName(src, at+".id", k.Id)
+		field := fmt.Sprintf("peer_keys[%d]", i)
+		checkName(src, field+".id", k.Id)
 		if seen[k.Id] {
-			src.Addf(at+".id", "%q is used twice", k.Id)
+			src.Addf(field+".id", "%q is used twice", k.Id)
 		}
 		seen[k.Id] = true
 		if len(k.Secret) < minSecretLength {
-			src.Addf(at+".secret", "must have at least %d characters", minSecretLength)
+			src.Addf(field+".secret", "must have at least %d characters", minSecretLength)
 		}
 	}
 }
@@ -217,8 +217,8 @@
 	checkRange(src, "limits.max_reply_bytes", l.MaxReplyBytes, maxBytes)
 }
 
-func checkRange(src *tomlpb.Source, at string, v, max uint32) {
+func checkRange(src *tomlpb.Source, field string, v, max uint32) {
 	if v < 1 || v > max {
-		src.Addf(at, "must be from 1 to %d, not %d", max, v)
+		src.Addf(field, "must be from 1 to %d, not %d", max, v)
 	}
 }
--- a/internal/tomlpb/lines.go
+++ b/internal/tomlpb/lines.go
@@ -75,12 +75,12 @@
 	case unstable.Array:
 		i := 0
 		for it := v.Children(); it.Next() && len(x.lines) < maxLines; i++ {
-			at := fmt.Sprintf("%s[%d]", path, i)
+			element := fmt.Sprintf("%s[%d]", path, i)
 			if raw := it.Node().Raw; raw.Length > 0 {
 				line = x.line(int(raw.Offset))
 			}
-			x.record(at, line)
-			x.value(at, line, it.Node(), depth+1)
+			x.record(element, line)
+			x.value(element, line, it.Node(), depth+1)
 		}
 	}
 }
--- a/internal/tomlpb/tomlpb.go
+++ b/internal/tomlpb/tomlpb.go
@@ -132,114 +132,114 @@
 func (s *Source) decodeTable(path string, tree map[string]any, msg protoreflect.Message) {
 	fields := msg.Descriptor().Fields()
 	for _, key := range sortedKeys(tree) {
-		at := joinPath(path, key)
+		field := joinPath(path, key)
 		fd := fields.ByName(protoreflect.Name(key))
 		if fd == nil {
-			s.Addf(at, "unknown setting; known here: %s", fieldNames(fields))
+			s.Addf(field, "unknown setting; known here: %s", fieldNames(fields))
 			continue
 		}
-		s.decodeField(at, tree[key], msg, fd)
+		s.decodeField(field, tree[key], msg, fd)
 	}
 }
 
-func (s *Source) decodeField(at string, v any, msg protoreflect.Message, fd protoreflect.FieldDescriptor) {
+func (s *Source) decodeField(field string, v any, msg protoreflect.Message, fd protoreflect.FieldDescriptor) {
 	if fd.IsList() {
-		s.decodeList(at, v, msg.Mutable(fd).List(), fd)
+		s.decodeList(field, v, msg.Mutable(fd).List(), fd)
 		return
 	}
 	if fd.Kind() == protoreflect.MessageKind {
-		s.decodeMessage(at, v, msg.Mutable(fd).Message())
+		s.decodeMessage(field, v, msg.Mutable(fd).Message())
 		return
 	}
-	if value, ok := s.decodeScalar(at, v, fd); ok {
+	if value, ok := s.decodeScalar(field, v, fd); ok {
 		msg.Set(fd, value)
 	}
 }
 
-func (s *Source) decodeList(at string, v any, list protoreflect.List, fd protoreflect.FieldDescriptor) {
+func (s *Source) decodeList(field string, v any, list protoreflect.List, fd protoreflect.FieldDescriptor) {
 	items, ok := v.([]any)
 	if !ok {
-		s.Addf(at, "must be a list, not %s", typeName(v))
+		s.Addf(field, "must be a list, not %s", typeName(v))
 		return
 	}
 	for i, item := range items {
-		place := fmt.Sprintf("%s[%d]", at, i)
+		element := fmt.Sprintf("%s[%d]", field, i)
 		if fd.Kind() == protoreflect.MessageKind {
-			s.decodeMessage(place, item, list.AppendMutable().Message())
+			s.decodeMessage(element, item, list.AppendMutable().Message())
 			continue
 		}
-		if value, ok := s.decodeScalar(place, item, fd); ok {
+		if value, ok := s.decodeScalar(element, item, fd); ok {
 			list.Append(value)
 		}
 	}
 }
 
-func (s *Source) decodeMessage(at string, v any, msg protoreflect.Message) {
+func (s *Source) decodeMessage(field string, v any, msg protoreflect.Message) {
 	tree, ok := v.(map[string]any)
 	if !ok {
-		s.Addf(at, "must be a table, not %s", typeName(v))
+		s.Addf(field, "must be a table, not %s", typeName(v))
 		return
 	}
-	s.decodeTable(at, tree, msg)
+	s.decodeTable(field, tree, msg)
 }
 
-func (s *Source) decodeScalar(at string, v any, fd protoreflect.FieldDescriptor) (protoreflect.Value, bool) {
+func (s *Source) decodeScalar(field string, v any, fd protoreflect.FieldDescriptor) (protoreflect.Value, bool) {
 	switch fd.Kind() {
 	case protoreflect.StringKind:
 		if text, ok := v.(string); ok {
 			return protoreflect.ValueOfString(text), true
 		}
-		return s.addTypeError(at, "a string", v)
+		return s.addTypeError(field, "a string", v)
 	case protoreflect.BoolKind:
 		if b, ok := v.(bool); ok {
 			return protoreflect.ValueOfBool(b), true
 		}
-		return s.addTypeError(at, "true or false", v)
+		return s.addTypeError(field, "true or false", v)
 	case protoreflect.DoubleKind:
-		return s.decodeNumber(at, v)
+		return s.decodeNumber(field, v)
 	case protoreflect.Uint32Kind:
-		n, ok := s.decodeInteger(at, v, math.MaxUint32)
+		n, ok := s.decodeInteger(field, v, math.MaxUint32)
 		return protoreflect.ValueOfUint32(uint32(n)), ok
 	case protoreflect.Uint64Kind:
-		n, ok := s.decodeInteger(at, v, math.MaxInt64)
+		n, ok := s.decodeInteger(field, v, math.MaxInt64)
 		return protoreflect.ValueOfUint64(uint64(n)), ok
 	case protoreflect.EnumKind:
-		return s.decodeEnum(at, v, fd.Enum().Values())
+		return s.decodeEnum(field, v, fd.Enum().Values())
 	default:
-		s.Addf(at, "cannot be set from TOML")
+		s.Addf(field, "cannot be set from TOML")
 		return protoreflect.Value{}, false
 	}
 }
 
 // addTypeError adds a finding on a value of the wrong type. Its results are those
 // of a failed conversion.
-func (s *Source) addTypeError(at, want string, v any) (protoreflect.Value, bool) {
-	s.Addf(at, "must be %s, not %s", want, typeName(v))
+func (s *Source) addTypeError(field, want string, v any) (protoreflect.Value, bool) {
+	s.Addf(field, "must be %s, not %s", want, typeName(v))
 	return protoreflect.Value{}, false
 }
 
-func (s *Source) decodeNumber(at string, v any) (protoreflect.Value, bool) {
+func (s *Source) decodeNumber(field string, v any) (protoreflect.Value, bool) {
 	switch n := v.(type) {
 	case float64:
 		if math.IsNaN(n) || math.IsInf(n, 0) {
-			s.Addf(at, "must be a finite number")
+			s.Addf(field, "must be a finite number")
 			return protoreflect.Value{}, false
 		}
 		return protoreflect.ValueOfFloat64(n), true
 	case int64:
 		return protoreflect.ValueOfFloat64(float64(n)), true
 	}
-	return s.addTypeError(at, "a number", v)
+	return s.addTypeError(field, "a number", v)
 }
 
-func (s *Source) decodeInteger(at string, v any, max int64) (int64, bool) {
+func (s *Source) decodeInteger(field string, v any, max int64) (int64, bool) {
 	n, ok := v.(int64)
 	if !ok {
-		s.Addf(at, "must be a whole number, not %s", typeName(v))
+		s.Addf(field, "must be a whole number, not %s", typeName(v))
 		return 0, false
 	}
 	if n < 0 || n > max {
-		s.Addf(at, "must be from 0 to %d, not %d", max, n)
+		s.Addf(field, "must be from 0 to %d, not %d", max, n)
 		return 0, false
 	}
 	return n, true
@@ -247,10 +247,10 @@
 
 // decodeEnum accepts the lower-case name of any value but the first, which is the
 // unspecified one.
-func (s *Source) decodeEnum(at string, v any, values protoreflect.EnumValueDescriptors) (protoreflect.Value, bool) {
+func (s *Source) decodeEnum(field string, v any, values protoreflect.EnumValueDescriptors) (protoreflect.Value, bool) {
 	text, ok := v.(string)
 	if !ok {
-		return s.addTypeError(at, "a string", v)
+		return s.addTypeError(field, "a string", v)
 	}
 	var allowed []string
 	for i := 1; i < values.Len(); i++ {
@@ -260,7 +260,7 @@
 		}
 		allowed = append(allowed, name)
 	}
-	s.Addf(at, "must be one of %s, not %q", strings.Join(allowed, ", "), text)
+	s.Addf(field, "must be one of %s, not %q", strings.Join(allowed, ", "), text)
 	return protoreflect.Value{}, false
 }
 
