--- a/internal/membership/capacity_test.go
+++ b/internal/membership/capacity_test.go
@@ -14,8 +14,8 @@
 // sizes are the fleets that the slopes of docs/CAPACITY.md are fitted to.
 var sizes = []int{10, 50, 150, 550}
 
-// settling is how long a fleet runs before it is measured.
-const settling = 5 * time.Minute
+// settleTime is how long a fleet runs before it is measured.
+const settleTime = 5 * time.Minute
 
 // BenchmarkNodes runs whole fleets in simulated time. It reports what one node
 // sends a second (UDP and IP headers included), its processor time for a second
@@ -31,7 +31,7 @@
 	before := heapBytes()
 	w := newNetwork(1)
 	w.fill(count)
-	w.run(settling)
+	w.run(settleTime)
 	after := heapBytes()
 	w.bytes, w.datagrams = 0, 0
 	seconds := 0.0
@@ -103,20 +103,20 @@
 
 func reportCrash(b *testing.B, count int) {
 	w := settled(1, count)
-	w.hosts[1].down = true
-	first, _ := w.until(limit, func() bool { return w.anyHolds(1, pb.MemberState_DEAD) })
-	all, _ := w.until(limit, func() bool { return w.agree(upTo(count, 1)...) })
+	w.processes[1].down = true
+	first, _ := w.runUntil(limit, func() bool { return w.anyHolds(1, pb.MemberState_DEAD) })
+	all, _ := w.runUntil(limit, func() bool { return w.agree(upTo(count, 1)...) })
 	b.ReportMetric(first.Seconds(), "first-s")
 	b.ReportMetric((first + all).Seconds(), "all-s")
-	w.do(w.hosts[2], func(n *membership.Node) membership.Actions { return n.Leave(w.now) })
-	left, _ := w.until(limit, func() bool { return w.agree(upTo(count, 1, 2)...) })
+	w.do(w.processes[2], func(n *membership.Node) membership.Actions { return n.Leave(w.now) })
+	left, _ := w.runUntil(limit, func() bool { return w.agree(upTo(count, 1, 2)...) })
 	b.ReportMetric(left.Seconds(), "leave-all-s")
 }
 
 // anyHolds tells whether any host holds VM i in a state.
 func (w *network) anyHolds(i int, state pb.MemberState) bool {
-	for h := range w.hosts {
-		if !w.hosts[h].down && w.state(h, i) == state {
+	for h := range w.processes {
+		if !w.processes[h].down && w.state(h, i) == state {
 			return true
 		}
 	}
@@ -125,7 +125,7 @@
 
 // rate is the bytes a second of a node since the last call.
 func (w *network) rate(d time.Duration) float64 {
-	r := float64(w.bytes) / d.Seconds() / float64(len(w.hosts))
+	r := float64(w.bytes) / d.Seconds() / float64(len(w.processes))
 	w.bytes = 0
 	return r
 }
@@ -135,7 +135,7 @@
 	const every, times = 78 * time.Second, 3
 	w := settled(1, count)
 	for i := range times {
-		h := w.hosts[3+i]
+		h := w.processes[3+i]
 		w.do(h, func(n *membership.Node) membership.Actions { return n.Leave(w.now) })
 		w.run(5 * time.Second)
 		h.down = true
@@ -148,12 +148,12 @@
 
 func reportPartition(b *testing.B, count int) {
 	w := settled(2, count)
-	half := hostName(count / 2)
+	half := vmName(count / 2)
 	w.cut = func(from, to string) bool { return (from < half) != (to < half) }
 	w.run(2 * time.Minute)
 	w.cut = func(string, string) bool { return false }
 	w.bytes = 0
-	healed, ok := w.until(10*time.Minute, func() bool { return w.agree(upTo(count)...) })
+	healed, ok := w.runUntil(10*time.Minute, func() bool { return w.agree(upTo(count)...) })
 	if !ok {
 		b.Fatal("the halves did not find each other")
 	}
@@ -176,7 +176,7 @@
 }
 
 func (w *network) totals() (failed, refuted, deaths uint64) {
-	for _, h := range w.hosts {
+	for _, h := range w.processes {
 		s := h.node.Stats()
 		failed += s.FailedProbes
 		refuted += s.Refutations
@@ -195,8 +195,8 @@
 			w := newNetwork(uint64(seed))
 			w.fill(9)
 			w.run(20*time.Second + time.Duration(seed)*tick)
-			w.hosts[seed%9].down = true
-			d, _ := w.until(limit, func() bool { return w.agree(upTo(9, seed%9)...) })
+			w.processes[seed%9].down = true
+			d, _ := w.runUntil(limit, func() bool { return w.agree(upTo(9, seed%9)...) })
 			took = append(took, float64(d/tick))
 		}
 		sort.Float64s(took)
--- a/internal/membership/directory_test.go
+++ b/internal/membership/directory_test.go
@@ -48,7 +48,7 @@
 func (d *directory) start(i int) {
 	h := d.addWith(membership.Options{
 		Self: &pb.MemberUpdate{
-			Vm: hostName(i), Incarnation: uint64(d.now.UnixMicro()) + uint64(i), Capacity: 100,
+			Vm: vmName(i), Incarnation: uint64(d.now.UnixMicro()) + uint64(i), Capacity: 100,
 			Region: fmt.Sprint("region-", i%directoryCentres/2), DataCentre: fmt.Sprint("dc-", i%directoryCentres),
 			CallerAddress: callerAddress(i), PeerAddress: address(i),
 		},
@@ -62,8 +62,8 @@
 
 // kill ends the process of VM i.
 func (d *directory) kill(i int) {
-	for _, h := range d.hosts {
-		if h.name == hostName(i) {
+	for _, h := range d.processes {
+		if h.name == vmName(i) {
 			h.down = true
 		}
 	}
@@ -75,7 +75,7 @@
 func (d *directory) watch(length time.Duration) string {
 	for end := d.now.Add(length); d.now.Before(end); {
 		d.run(tick)
-		for _, h := range d.hosts {
+		for _, h := range d.processes {
 			if h.down || d.now.Sub(d.inTouch[h.name]) < contact {
 				continue
 			}
@@ -87,7 +87,7 @@
 	return ""
 }
 
-func (d *directory) wrongAnswer(h *host) string {
+func (d *directory) wrongAnswer(h *process) string {
 	for region := range directoryCentres / 2 {
 		caller := placement.Caller{Region: fmt.Sprint("region-", region), DataCentre: fmt.Sprint("dc-", 2*region)}
 		for _, a := range placement.Choose(h.node.View().Members, caller, placement.Bounds{Most: 8, Least: 3, Work: 10_000}) {
@@ -108,7 +108,7 @@
 		d.watch(15 * time.Second)
 		cut := map[string]bool{}
 		for i := 20; i < 32; i++ {
-			cut[hostName(i)] = true
+			cut[vmName(i)] = true
 		}
 		d.cut = func(from, to string) bool { return cut[from] != cut[to] }
 		d.watch(time.Second)
@@ -144,13 +144,13 @@
 // restart ends the process of VM i, if it is up, and starts another.
 func (d *directory) restart(i int) {
 	d.kill(i)
-	d.hosts = slices.DeleteFunc(d.hosts, func(h *host) bool { return h.name == hostName(i) })
+	d.processes = slices.DeleteFunc(d.processes, func(h *process) bool { return h.name == vmName(i) })
 	d.start(i)
 }
 
 // named is how many VMs callers of a region are told of by the first VM that is up.
 func (d *directory) named(region int) int {
-	for _, h := range d.hosts {
+	for _, h := range d.processes {
 		if !h.down {
 			caller := placement.Caller{Region: fmt.Sprint("region-", region)}
 			return len(placement.Choose(h.node.View().Members, caller, placement.Bounds{Most: 8, Least: 3, Work: 10_000}))
--- a/internal/membership/export_test.go
+++ b/internal/membership/export_test.go
@@ -18,8 +18,8 @@
 	return Rank{Incarnation: r.Incarnation, Refutation: r.refutation, State: r.State}
 }
 
-// Below tells whether b is newer than a.
-func (a Rank) Below(b Rank) bool {
+// OlderThan tells whether b is newer than a.
+func (a Rank) OlderThan(b Rank) bool {
 	return outranks(b.Incarnation, b.Refutation, b.State, &record{
 		Member:     Member{Incarnation: a.Incarnation, State: a.State},
 		refutation: a.Refutation,
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -7,15 +7,15 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// SetList takes in the platform's list. Gossip is believed for liveness, the
-// list for removal:
-//   - a listed VM is a member; silent, it becomes suspected and then dead;
-//   - a VM that has gone from the list is no longer counted, alive or not;
-//   - a VM that never was on a list is counted from when gossip first names it
-//     until a list that changed at least JoinGrace later still leaves it out.
+// SetList applies the platform's list. Gossip decides liveness, the list decides
+// removal:
+//   - a listed VM is a member; if it is silent, it becomes suspected and then dead;
+//   - a VM removed from the list no longer counts, alive or not;
+//   - a VM that was never listed counts from the time gossip first names it until
+//     a changed list that arrives at least JoinGrace later still omits it.
 //
-// The last rule goes by changes of the list and not by time, so that a platform
-// that is down or stale removes nobody. An empty list is no list.
+// The last rule depends on list changes and not on time alone, so that a platform
+// that is down or stale removes no VM. An empty list is ignored.
 func (n *Node) SetList(now time.Time, vms []*pb.VM) Actions {
 	n.begin(now)
 	if len(vms) == 0 || sameList(n.list, vms) {
@@ -27,19 +27,20 @@
 		listed[vm.Id] = vm
 	}
 	for _, r := range slices.Clone(n.table.sorted) {
-		n.relist(r, listed[r.VM])
+		n.applyListEntry(r, listed[r.VM])
 	}
 	for _, vm := range vms {
 		if n.table.get(vm.Id) == nil {
-			n.expect(vm)
+			n.addListed(vm)
 		}
 	}
 	n.dirty = true
 	return n.end()
 }
 
-// relist applies the list's entry of a known member, nil if there is none.
-func (n *Node) relist(r *record, vm *pb.VM) {
+// applyListEntry applies the list entry of a known member; vm is nil if the list
+// omits it.
+func (n *Node) applyListEntry(r *record, vm *pb.VM) {
 	if vm == nil {
 		n.unlist(r)
 		return
@@ -47,7 +48,7 @@
 	r.listed = vm
 	r.Unlisted = false
 	if r.Incarnation == 0 {
-		takeAddresses(r, vm)
+		setAddresses(r, vm)
 	}
 }
 
@@ -56,7 +57,7 @@
 	r.listed = nil
 	if removed && r.Incarnation == 0 {
 		n.table.remove(r)
-		n.hot.drop(r.VM)
+		n.queue.drop(r.VM)
 		return
 	}
 	if removed || n.now.Sub(r.firstSeen) >= n.timing.JoinGrace {
@@ -64,16 +65,16 @@
 	}
 }
 
-// expect adds a listed VM that was never heard of. It counts as alive until a
-// probe fails: at a start nobody has been heard of.
-func (n *Node) expect(vm *pb.VM) {
+// addListed adds a listed VM from which nothing has been received yet. It counts as
+// alive until a probe fails, because a starting node has heard from no member.
+func (n *Node) addListed(vm *pb.VM) {
 	r := &record{Member: Member{VM: vm.Id, State: pb.MemberState_ALIVE}, listed: vm, bucket: bucketOf(vm.Id)}
-	takeAddresses(r, vm)
+	setAddresses(r, vm)
 	n.table.insert(r)
-	n.enterRing(r)
+	n.addToRing(r)
 }
 
-func takeAddresses(r *record, vm *pb.VM) {
+func setAddresses(r *record, vm *pb.VM) {
 	r.Region = vm.Region
 	r.DataCentre = vm.DataCentre
 	r.Rack = vm.Rack
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -34,28 +34,28 @@
 			h := w.addBehind(3, 10*time.Minute, true)
 			w.do(h, func(n *membership.Node) membership.Actions { return n.SetList(w.now, listed(9)) })
 			known := func() bool {
-				for _, other := range w.hosts {
+				for _, other := range w.processes {
 					if !other.down && other.node.Rank(h.name).Incarnation != h.node.Rank(h.name).Incarnation {
 						return false
 					}
 				}
 				return w.agree(upTo(9)...)
 			}
-			_, ok := w.until(30*time.Second, known)
+			_, ok := w.runUntil(30*time.Second, known)
 			Expect(ok).To(BeTrue())
 			w.run(30 * time.Second)
 			Expect(known()).To(BeTrue(), "it must stay")
 			Expect(h.events).NotTo(ContainElement("superseded"))
 		},
-		Entry("replaced at once", func(w *network) { w.hosts[3].down = true }),
+		Entry("replaced at once", func(w *network) { w.processes[3].down = true }),
 		Entry("replaced after it was held dead", func(w *network) {
-			w.hosts[3].down = true
+			w.processes[3].down = true
 			w.run(time.Minute)
 		}),
 		Entry("replaced after a planned stop", func(w *network) {
-			w.do(w.hosts[3], func(n *membership.Node) membership.Actions { return n.Leave(w.now) })
+			w.do(w.processes[3], func(n *membership.Node) membership.Actions { return n.Leave(w.now) })
 			w.run(5 * time.Second)
-			w.hosts[3].down = true
+			w.processes[3].down = true
 		}),
 	)
 
@@ -63,7 +63,7 @@
 		w := newNetwork(1)
 		w.fill(9)
 		w.run(20 * time.Second)
-		w.hosts[3].down = true
+		w.processes[3].down = true
 		h := w.addBehind(3, 10*time.Minute, false)
 		w.do(h, func(n *membership.Node) membership.Actions { return n.SetList(w.now, listed(9)) })
 		w.run(10 * time.Second)
@@ -81,51 +81,51 @@
 			w.run(20 * time.Second)
 			Expect(w.agree(upTo(9)...)).To(BeTrue())
 			fault(w)
-			_, ok := w.until(limit, func() bool { return w.agree(want...) })
+			_, ok := w.runUntil(limit, func() bool { return w.agree(want...) })
 			Expect(ok).To(BeTrue())
 			w.run(30 * time.Second)
 			Expect(w.agree(want...)).To(BeTrue(), "the views must stay")
 		},
-		Entry("a crash", func(w *network) { w.hosts[3].down = true }, upTo(9, 3)),
-		Entry("two crashes at once", func(w *network) { w.hosts[3].down, w.hosts[4].down = true, true }, upTo(9, 3, 4)),
+		Entry("a crash", func(w *network) { w.processes[3].down = true }, upTo(9, 3)),
+		Entry("two crashes at once", func(w *network) { w.processes[3].down, w.processes[4].down = true, true }, upTo(9, 3, 4)),
 		Entry("a planned stop", func(w *network) {
-			w.do(w.hosts[3], func(n *membership.Node) membership.Actions { return n.Leave(w.now) })
+			w.do(w.processes[3], func(n *membership.Node) membership.Actions { return n.Leave(w.now) })
 		}, upTo(9, 3)),
 		Entry("a planned stop that ends", func(w *network) {
-			w.do(w.hosts[3], func(n *membership.Node) membership.Actions { return n.Leave(w.now) })
+			w.do(w.processes[3], func(n *membership.Node) membership.Actions { return n.Leave(w.now) })
 			w.run(5 * time.Second)
-			w.hosts[3].down = true
+			w.processes[3].down = true
 		}, upTo(9, 3)),
 		Entry("a replacement under the same name", func(w *network) {
-			w.hosts[3].down = true
+			w.processes[3].down = true
 			w.run(time.Second)
 			w.add(3)
 		}, upTo(9)),
 		Entry("one way cut: A hears B, B does not hear A", func(w *network) {
-			w.cut = func(from, to string) bool { return from == hostName(0) && to == hostName(1) }
+			w.cut = func(from, to string) bool { return from == vmName(0) && to == vmName(1) }
 		}, upTo(9)),
 		Entry("a pair cut in both ways", func(w *network) {
 			w.cut = func(from, to string) bool {
-				return from == hostName(0) && to == hostName(1) || from == hostName(1) && to == hostName(0)
+				return from == vmName(0) && to == vmName(1) || from == vmName(1) && to == vmName(0)
 			}
 		}, upTo(9)),
 		Entry("a partition of a minute, healed", func(w *network) {
-			w.cut = func(from, to string) bool { return (from < hostName(4)) != (to < hostName(4)) }
+			w.cut = func(from, to string) bool { return (from < vmName(4)) != (to < vmName(4)) }
 			w.run(time.Minute)
 			w.cut = func(string, string) bool { return false }
 		}, upTo(9)),
 		Entry("a member that flaps", func(w *network) {
 			for range 6 {
-				w.hosts[2].paused = true
+				w.processes[2].paused = true
 				w.run(9 * time.Second)
-				w.hosts[2].paused = false
+				w.processes[2].paused = false
 				w.run(4 * time.Second)
 			}
 		}, upTo(9)),
 		Entry("a pause of a minute", func(w *network) {
-			w.hosts[2].paused = true
+			w.processes[2].paused = true
 			w.run(time.Minute)
-			w.hosts[2].paused = false
+			w.processes[2].paused = false
 		}, upTo(9)),
 	)
 
@@ -133,10 +133,10 @@
 		w := newNetwork(2)
 		w.fill(9)
 		w.run(20 * time.Second)
-		w.cut = func(from, to string) bool { return (from < hostName(4)) != (to < hostName(4)) }
+		w.cut = func(from, to string) bool { return (from < vmName(4)) != (to < vmName(4)) }
 		w.run(time.Minute)
-		Expect(w.hosts[0].node.View().Serving()).To(HaveLen(4))
-		Expect(w.hosts[8].node.View().Serving()).To(HaveLen(5))
+		Expect(w.processes[0].node.View().Serving()).To(HaveLen(4))
+		Expect(w.processes[8].node.View().Serving()).To(HaveLen(5))
 		Expect(w.state(0, 8)).To(Equal(pb.MemberState_DEAD))
 	})
 
@@ -149,28 +149,28 @@
 			w.fill(9)
 			w.run(20 * time.Second)
 			w.cut = cut
-			_, ok := w.until(limit, func() bool { return w.hosts[0].node.Stats().Deaths >= uint64(deaths) })
+			_, ok := w.runUntil(limit, func() bool { return w.processes[0].node.Stats().Deaths >= uint64(deaths) })
 			Expect(ok).To(BeTrue())
 			w.cut = func(string, string) bool { return false }
 			w.run(30 * time.Second)
 			Expect(w.agree(upTo(9)...)).To(BeTrue())
-			for _, h := range w.hosts[1:] {
+			for _, h := range w.processes[1:] {
 				Expect(h.node.Stats().Deaths).To(BeNumerically("<=", 1), "only its own")
 			}
 		},
-		Entry("deaf until all are dead to it", func(_, to string) bool { return to == hostName(0) }, 8),
-		Entry("deaf until one is", func(_, to string) bool { return to == hostName(0) }, 1),
-		Entry("alone until all are", func(from, to string) bool { return from == hostName(0) || to == hostName(0) }, 8),
-		Entry("alone until one is", func(from, to string) bool { return from == hostName(0) || to == hostName(0) }, 1),
+		Entry("deaf until all are dead to it", func(_, to string) bool { return to == vmName(0) }, 8),
+		Entry("deaf until one is", func(_, to string) bool { return to == vmName(0) }, 1),
+		Entry("alone until all are", func(from, to string) bool { return from == vmName(0) || to == vmName(0) }, 8),
+		Entry("alone until one is", func(from, to string) bool { return from == vmName(0) || to == vmName(0) }, 1),
 	)
 
 	It("does not pass on the suspicions of a deaf node", func() {
 		w := newNetwork(3)
 		w.fill(9)
 		w.run(20 * time.Second)
-		w.cut = func(_, to string) bool { return to == hostName(0) }
+		w.cut = func(_, to string) bool { return to == vmName(0) }
 		w.run(time.Minute)
-		for _, h := range w.hosts[1:] {
+		for _, h := range w.processes[1:] {
 			Expect(h.node.Stats().Suspicions).To(BeEquivalentTo(1), "only of the deaf node")
 		}
 	})
@@ -185,13 +185,13 @@
 			w.run(20 * time.Second)
 			w.cut = cut
 			w.run(2 * time.Minute)
-			for _, h := range w.hosts {
+			for _, h := range w.processes {
 				Expect(h.node.Stats().Suspicions).To(BeZero(), h.name)
 			}
 		},
-		Entry("one way", func(from, to string) bool { return from == hostName(0) && to == hostName(1) }),
+		Entry("one way", func(from, to string) bool { return from == vmName(0) && to == vmName(1) }),
 		Entry("both ways", func(from, to string) bool {
-			return from <= hostName(1) && to <= hostName(1)
+			return from <= vmName(1) && to <= vmName(1)
 		}),
 	)
 
@@ -205,32 +205,32 @@
 			w.fill(9)
 			w.run(20 * time.Second)
 			prepare(w)
-			w.hosts[0].paused = true
+			w.processes[0].paused = true
 			w.run(pause)
-			w.hosts[0].paused = false
-			dead := w.hosts[0].node.Stats().Deaths
+			w.processes[0].paused = false
+			dead := w.processes[0].node.Stats().Deaths
 			w.run(tick)
-			Expect(w.hosts[0].node.InDoubt()).To(Equal(len(events) > 0))
-			w.until(limit, func() bool { return !w.hosts[0].node.InDoubt() })
-			Expect(w.hosts[0].events).To(Equal(events))
-			Expect(w.hosts[0].alone).To(Equal(alone))
+			Expect(w.processes[0].node.InDoubt()).To(Equal(len(events) > 0))
+			w.runUntil(limit, func() bool { return !w.processes[0].node.InDoubt() })
+			Expect(w.processes[0].events).To(Equal(events))
+			Expect(w.processes[0].alone).To(Equal(alone))
 			if alone {
 				return
 			}
-			Expect(w.hosts[0].node.Stats().Deaths).To(Equal(dead), "no peer died")
-			_, ok := w.until(limit, func() bool { return w.agree(upTo(9)...) })
+			Expect(w.processes[0].node.Stats().Deaths).To(Equal(dead), "no peer died")
+			_, ok := w.runUntil(limit, func() bool { return w.agree(upTo(9)...) })
 			Expect(ok).To(BeTrue())
 		},
 		Entry("briefly notices nothing", nothing, time.Second, nil, false),
 		Entry("for three seconds asks its peers first", nothing, 3*time.Second, []string{"revalidate", "revalidated"}, false),
 		Entry("for a minute, held dead by all", nothing, time.Minute, []string{"revalidate", "revalidated"}, false),
 		Entry("while it suspected a peer", func(w *network) {
-			w.cut = func(_, to string) bool { return to == hostName(5) }
-			w.until(limit, func() bool { return w.state(0, 5) == pb.MemberState_SUSPECT })
+			w.cut = func(_, to string) bool { return to == vmName(5) }
+			w.runUntil(limit, func() bool { return w.state(0, 5) == pb.MemberState_SUSPECT })
 			w.cut = func(string, string) bool { return false }
 		}, 10*time.Second, []string{"revalidate", "revalidated"}, false),
 		Entry("and finds nobody", func(w *network) {
-			for _, h := range w.hosts[1:] {
+			for _, h := range w.processes[1:] {
 				h.down = true
 			}
 		}, 10*time.Second, []string{"revalidate", "revalidated"}, true),
@@ -241,11 +241,11 @@
 		w.fill(2)
 		w.run(20 * time.Second)
 		w.cut = func(string, string) bool { return true }
-		w.until(limit, func() bool { return w.state(0, 1) == pb.MemberState_SUSPECT })
-		w.hosts[0].paused = true
+		w.runUntil(limit, func() bool { return w.state(0, 1) == pb.MemberState_SUSPECT })
+		w.processes[0].paused = true
 		w.run(time.Minute)
-		w.hosts[0].paused = false
-		w.until(limit, func() bool { return len(w.hosts[0].events) == 2 })
+		w.processes[0].paused = false
+		w.runUntil(limit, func() bool { return len(w.processes[0].events) == 2 })
 		w.run(tick)
 		Expect(w.state(0, 1)).To(Equal(pb.MemberState_SUSPECT))
 		w.run(10 * time.Second)
@@ -260,17 +260,17 @@
 		w := newNetwork(5)
 		w.fill(9)
 		w.run(20 * time.Second)
-		w.hosts[0].paused = true
+		w.processes[0].paused = true
 		w.run(10 * time.Second)
 		// Only two can answer: it asks again before it goes on.
 		w.cut = func(from, to string) bool {
-			return to == hostName(0) && from != hostName(1) && from != hostName(2)
+			return to == vmName(0) && from != vmName(1) && from != vmName(2)
 		}
-		w.hosts[0].paused = false
-		took, ok := w.until(limit, func() bool { return len(w.hosts[0].events) == 2 })
+		w.processes[0].paused = false
+		took, ok := w.runUntil(limit, func() bool { return len(w.processes[0].events) == 2 })
 		Expect(ok).To(BeTrue())
 		Expect(took).To(BeNumerically(">=", 3*membership.DefaultAskAgain))
-		Expect(w.hosts[0].alone).To(BeFalse())
+		Expect(w.processes[0].alone).To(BeFalse())
 	})
 })
 
--- a/internal/membership/near.go
+++ b/internal/membership/near.go
@@ -2,107 +2,114 @@
 
 import "sycamorekeel.example/sycamorekeel/internal/pb"
 
-// Bytes between data centres are paid for, and in a large fleet most of what probes and
-// news cost crosses between them. A node with enough neighbours in its data centre
-// therefore probes these and tells these what is new, and members elsewhere only now and
-// then: often enough, over all nodes, that a data centre that is lost whole, of which no
-// neighbour is left to tell, is noticed within a second. What is noticed there is then
-// looked at by all. With 96 members in six data centres 20 kB a second cross
-// between them when nothing happens, and 77 kB when all are probed alike; a lost data centre
-// is left out by all after 4.6 to 5.8 s and after 3.8 to 4.6 s, most of it the time to refute.
+// Traffic between data centres is charged, and in a large fleet most probe and update
+// traffic crosses between them. A node with enough members in its own data centre
+// therefore mostly contacts these, and contacts other data centres less often: over all
+// nodes still often enough to notice within a second that a whole data centre is lost,
+// when no member is left inside it to report that. A data centre with several suspects
+// is then probed by all nodes. With 96 members in six data centres, 20 kB/s cross between
+// data centres when idle, against 77 kB/s with uniform probing. A lost data centre
+// leaves all views after 4.6 to 5.8 s, against 3.8 to 4.6 s; most of that time is the
+// suspicion timeout.
 const (
-	// nearLeast is how many other members of its data centre a node must know to keep to
-	// them: fewer might all be lost at once, unseen by others for longer.
-	nearLeast = 8
-	// farEvery is how many periods pass at least between two probes of a member
-	// elsewhere.
-	farEvery = 5
-	// farMembers is for how many members each further period is waited: over all nodes
-	// about as many probes leave the data centres in a fleet of any size.
-	farMembers = 15
-	// farSpread is how many datagrams with news there are for one that leaves the data
-	// centre.
-	farSpread = 8
-	// watchLeast is how many members of a data centre must be under suspicion for all its
-	// members to be probed by everybody: one alone its neighbours look after.
-	watchLeast = 2
-	// watchPeriods is for how many periods they are: a round of a data centre of twenty.
+	// minLocalPeers is how many other members of its data centre a node must know to
+	// prefer them. Fewer might all fail at once, and other data centres would notice
+	// that later.
+	minLocalPeers = 8
+	// remoteProbeInterval is the minimum number of periods between two probes of members
+	// of other data centres.
+	remoteProbeInterval = 5
+	// membersPerRemotePeriod lengthens that interval in large fleets to one period for each
+	// so many members, so that the number of probes between data centres does not grow
+	// with the fleet.
+	membersPerRemotePeriod = 15
+	// remoteDisseminationRatio is the mean number of dissemination datagrams of which one
+	// leaves the data centre.
+	remoteDisseminationRatio = 8
+	// minSuspectsToWatch is how many members of a data centre must be suspected before all
+	// nodes probe its members. A single suspect is left to its own data centre.
+	minSuspectsToWatch = 2
+	// watchPeriods is how many periods all nodes probe such a data centre: one round of a
+	// data centre with twenty members.
 	watchPeriods = 20
 )
 
-// near tells whether a member is in this node's data centre.
-func (n *Node) near(r *record) bool {
+// isLocal reports whether a member is in this node's data centre.
+func (n *Node) isLocal(r *record) bool {
 	return r.DataCentre == n.self.DataCentre && r.Region == n.self.Region
 }
 
-// keepsNear tells whether this node knows enough neighbours to keep to them.
-func (n *Node) keepsNear() bool {
+// shouldPreferLocal reports whether this node knows enough members of its data centre
+// to prefer them.
+func (n *Node) shouldPreferLocal() bool {
 	if !n.opts.KeepNear {
 		return false
 	}
 	neighbours := 0
 	for _, r := range n.table.sorted {
-		if r != n.self && r.serves() && n.near(r) {
+		if r != n.self && r.serves() && n.isLocal(r) {
 			neighbours++
 		}
 	}
-	return neighbours >= nearLeast
+	return neighbours >= minLocalPeers
 }
 
-// inRing tells whether a member is probed in turn.
+// inRing reports whether a member is probed in turn.
 func (n *Node) inRing(r *record) bool {
-	return !n.keeping || n.near(r) || n.now.Before(n.watched[r.DataCentre])
+	return !n.preferLocal || n.isLocal(r) || n.now.Before(n.watched[r.DataCentre])
 }
 
-// watch lets the members of a data centre be probed in turn for a while, when several of
-// them are under suspicion.
-func (n *Node) watch(dataCentre string) {
+// watchDataCentre adds the members of a data centre to the probe order for a while if
+// several of them are suspected.
+func (n *Node) watchDataCentre(dataCentre string) {
 	suspects := 0
 	for _, r := range n.table.sorted {
 		if r.DataCentre == dataCentre && r.State == pb.MemberState_SUSPECT {
 			suspects++
 		}
 	}
-	if suspects < watchLeast {
+	if suspects < minSuspectsToWatch {
 		return
 	}
 	if !n.now.Before(n.watched[dataCentre]) {
-		// A new round, with its members in it.
+		// The next round includes these members.
 		n.ring = n.ring[:0]
 	}
 	n.watched[dataCentre] = n.now.Add(watchPeriods * n.timing.Period)
 }
 
-// farTurn is the member elsewhere that is to be probed in this period, nil for none.
-func (n *Node) farTurn() *record {
-	n.nextFar--
-	if !n.keeping || n.nextFar > 0 {
+// nextRemoteTarget returns the member of another data centre to probe in this period,
+// or nil.
+func (n *Node) nextRemoteTarget() *record {
+	n.untilRemoteProbe--
+	if !n.preferLocal || n.untilRemoteProbe > 0 {
 		return nil
 	}
-	n.nextFar = max(farEvery, len(n.table.sorted)/farMembers)
-	elsewhere := func(r *record) bool { return !n.near(r) && r.State != pb.MemberState_DEAD }
+	n.untilRemoteProbe = max(remoteProbeInterval, len(n.table.sorted)/membersPerRemotePeriod)
+	elsewhere := func(r *record) bool { return !n.isLocal(r) && r.State != pb.MemberState_DEAD }
 	for _, r := range n.pick(1, elsewhere) {
 		return r
 	}
 	return nil
 }
 
-// newsTo is who hears of news next: mostly a neighbour.
-func (n *Node) newsTo() []*record {
-	near := n.keeping && n.rand.IntN(farSpread) > 0
-	return n.pick(1, func(r *record) bool { return r.serves() && (!near || n.near(r)) })
+// disseminationTargets picks the receiver of the next dissemination datagram, mostly in
+// this data centre.
+func (n *Node) disseminationTargets() []*record {
+	near := n.preferLocal && n.rand.IntN(remoteDisseminationRatio) > 0
+	return n.pick(1, func(r *record) bool { return r.serves() && (!near || n.isLocal(r)) })
 }
 
-// lookNear works out anew whether to keep near, and begins a new round if that has changed.
-func (n *Node) lookNear() {
-	if keeps := n.keepsNear(); keeps != n.keeping {
-		n.keeping = keeps
+// updatePreferLocal recomputes preferLocal and starts a new round of probes if it changes.
+func (n *Node) updatePreferLocal() {
+	if keeps := n.shouldPreferLocal(); keeps != n.preferLocal {
+		n.preferLocal = keeps
 		n.ring = n.ring[:0]
 	}
 }
 
-// round begins a new round of probes in an order shuffled anew.
-func (n *Node) round() {
+// startRound starts a new round of probes in a newly shuffled order.
+func (n *Node) startRound() {
 	n.ring = n.ring[:0]
 	for _, r := range n.table.sorted {
 		if n.inRing(r) {
--- a/internal/membership/near_test.go
+++ b/internal/membership/near_test.go
@@ -22,9 +22,9 @@
 func regionOf(i int) string { return fmt.Sprintf("region-%d", i%dataCentres/2) }
 
 // addIn starts a process of VM i in its data centre, with a seed in each region.
-func (w *network) addIn(i int, near bool) *host {
+func (w *network) addIn(i int, near bool) *process {
 	return w.addWith(membership.Options{
-		Self: &pb.MemberUpdate{Vm: hostName(i), Incarnation: uint64(w.now.UnixMicro()) + uint64(i), Region: regionOf(i), DataCentre: centre(i),
+		Self: &pb.MemberUpdate{Vm: vmName(i), Incarnation: uint64(w.now.UnixMicro()) + uint64(i), Region: regionOf(i), DataCentre: centre(i),
 			CallerAddress: address(i), PeerAddress: address(i)},
 		Seeds:    []string{address(0), address(2), address(4)},
 		Seed:     w.rand.Uint64(),
@@ -33,8 +33,8 @@
 	})
 }
 
-// spreadOut starts count VMs in all data centres that know of three seeds.
-func spreadOut(seed uint64, count int, near bool) *network {
+// startFleet starts count VMs in all data centres that know of three seeds.
+func startFleet(seed uint64, count int, near bool) *network {
 	w := newNetwork(seed)
 	w.loss = 0.01
 	for i := range count {
@@ -45,12 +45,12 @@
 	return w
 }
 
-// crossing is the bytes a second of all VMs that leave a data centre.
-func crossing(w *network) float64 {
+// remoteBytesPerSecond is the bytes a second of all VMs that leave a data centre.
+func remoteBytesPerSecond(w *network) float64 {
 	const measured = 20 * time.Second
-	before := w.crossing
+	before := w.remoteBytes
 	w.run(measured)
-	return float64(w.crossing-before) / measured.Seconds()
+	return float64(w.remoteBytes-before) / measured.Seconds()
 }
 
 // in is the VMs of a data centre.
@@ -70,8 +70,8 @@
 	// Sequence: nothing happens.
 	// Cause: every VM probes every other alike, wherever it is.
 	It("keeps its probes in the data centres", func() {
-		all := crossing(spreadOut(1, count, false))
-		near := crossing(spreadOut(1, count, true))
+		all := remoteBytesPerSecond(startFleet(1, count, false))
+		near := remoteBytesPerSecond(startFleet(1, count, true))
 		Expect(near).To(BeNumerically("<", all/3))
 	})
 
@@ -80,12 +80,12 @@
 	// Cause: those that probed them are lost as well.
 	DescribeTable("notices the loss of one of them", func(near bool) {
 		for seed := range uint64(5) {
-			w := spreadOut(seed, count, near)
+			w := startFleet(seed, count, near)
 			lost := in(3, count)
 			for _, i := range lost {
-				w.hosts[i].down = true
+				w.processes[i].down = true
 			}
-			took, ok := w.until(30*time.Second, func() bool { return w.agree(upTo(count, lost...)...) })
+			took, ok := w.runUntil(30*time.Second, func() bool { return w.agree(upTo(count, lost...)...) })
 			Expect(ok).To(BeTrue())
 			Expect(took).To(BeNumerically("<=", 8*time.Second), "seed %d", seed)
 		}
@@ -99,11 +99,11 @@
 	// Cause: its word stays in its data centre.
 	It("passes news on to all of them", func() {
 		for seed := range uint64(5) {
-			w := spreadOut(seed, count, true)
-			w.do(w.hosts[7], func(n *membership.Node) membership.Actions { return n.SetCapacity(w.now, 77) })
-			took, ok := w.until(10*time.Second, func() bool {
-				for _, h := range w.hosts {
-					if m, _ := h.node.View().Find(hostName(7)); m.Capacity != 77 {
+			w := startFleet(seed, count, true)
+			w.do(w.processes[7], func(n *membership.Node) membership.Actions { return n.SetCapacity(w.now, 77) })
+			took, ok := w.runUntil(10*time.Second, func() bool {
+				for _, h := range w.processes {
+					if m, _ := h.node.View().Find(vmName(7)); m.Capacity != 77 {
 						return false
 					}
 				}
@@ -118,13 +118,13 @@
 	// Sequence: a region is cut off for a minute and comes back.
 	// Cause: both sides probe those they know to be alive, which are near.
 	It("finds together again after a cut", func() {
-		w := spreadOut(3, count, true)
+		w := startFleet(3, count, true)
 		w.cut = func(from, to string) bool {
 			return (w.byVM[from].opts.Self.Region == "region-1") != (w.byVM[to].opts.Self.Region == "region-1")
 		}
 		w.run(time.Minute)
 		w.cut = func(string, string) bool { return false }
-		_, ok := w.until(30*time.Second, func() bool { return w.agree(upTo(count)...) })
+		_, ok := w.runUntil(30*time.Second, func() bool { return w.agree(upTo(count)...) })
 		Expect(ok).To(BeTrue())
 	})
 
@@ -132,10 +132,10 @@
 	// Sequence: every process asks for the list of members when it starts.
 	// Cause: each takes what it is told for news and passes all of it on.
 	It("does not pass a whole list on", func() {
-		w := spreadOut(4, count, true)
-		list := w.hosts[0].node.Updates()
+		w := startFleet(4, count, true)
+		list := w.processes[0].node.Updates()
 		joiner := w.addWith(membership.Options{
-			Self: &pb.MemberUpdate{Vm: hostName(count), Incarnation: uint64(w.now.UnixMicro()), Region: regionOf(count), DataCentre: centre(count),
+			Self: &pb.MemberUpdate{Vm: vmName(count), Incarnation: uint64(w.now.UnixMicro()), Region: regionOf(count), DataCentre: centre(count),
 				CallerAddress: address(count), PeerAddress: address(count)},
 			Seed: 1, KeepNear: true, Timing: edgeTiming,
 		})
--- a/internal/membership/network_test.go
+++ b/internal/membership/network_test.go
@@ -21,12 +21,12 @@
 // network carries datagrams between nodes in simulated time, with faults drawn
 // from a fixed seed.
 type network struct {
-	now   time.Time
-	rand  *rand.Rand
-	hosts []*host
-	byVM  map[string]*host
+	now       time.Time
+	rand      *rand.Rand
+	processes []*process
+	byVM      map[string]*process
 	// byAddress finds the host that answers an address now.
-	byAddress map[string]*host
+	byAddress map[string]*process
 	flights   flights
 	serial    uint64
 
@@ -37,12 +37,12 @@
 	cut func(from, to string) bool
 
 	bytes, datagrams, longest int
-	// crossing is the bytes sent to other data centres.
-	crossing int
+	// remoteBytes is the bytes sent to other data centres.
+	remoteBytes int
 }
 
-// host is one VM of the network.
-type host struct {
+// process is one VM of the network.
+type process struct {
 	name   string
 	opts   membership.Options
 	node   *membership.Node
@@ -58,53 +58,53 @@
 	w := &network{
 		now:       time.Unix(1_700_000_000, 0),
 		rand:      rand.New(rand.NewPCG(seed, 1)),
-		byVM:      map[string]*host{},
-		byAddress: map[string]*host{},
+		byVM:      map[string]*process{},
+		byAddress: map[string]*process{},
 		cut:       func(string, string) bool { return false },
 	}
 	w.delay = func() time.Duration { return time.Duration(1+w.rand.IntN(12)) * time.Millisecond }
 	return w
 }
 
-func hostName(i int) string { return fmt.Sprintf("vm-%03d", i+1) }
+func vmName(i int) string { return fmt.Sprintf("vm-%03d", i+1) }
 
 func address(i int) string { return fmt.Sprintf("10.0.%d.%d:7100", i/200, i%200+1) }
 
 func listed(count int) []*pb.VM {
 	var out []*pb.VM
 	for i := range count {
-		out = append(out, &pb.VM{Id: hostName(i), State: pb.VMState_LIVE, Region: "north", DataCentre: "north-1",
+		out = append(out, &pb.VM{Id: vmName(i), State: pb.VMState_LIVE, Region: "north", DataCentre: "north-1",
 			CallerAddress: "10.0.0.1:7000", PeerAddress: address(i)})
 	}
 	return out
 }
 
 // add starts a process of VM i.
-func (w *network) add(i int) *host { return w.addAt(i, address(i)) }
+func (w *network) add(i int) *process { return w.addAt(i, address(i)) }
 
 // addAt starts a process of VM i at an address of its own.
-func (w *network) addAt(i int, address string) *host {
+func (w *network) addAt(i int, address string) *process {
 	return w.addWith(membership.Options{
-		Self: &pb.MemberUpdate{Vm: hostName(i), Incarnation: uint64(w.now.UnixMicro()) + uint64(i), Region: "north", DataCentre: "north-1",
+		Self: &pb.MemberUpdate{Vm: vmName(i), Incarnation: uint64(w.now.UnixMicro()) + uint64(i), Region: "north", DataCentre: "north-1",
 			CallerAddress: "10.0.0.1:7000", PeerAddress: address},
 		Seed: w.rand.Uint64(),
 	})
 }
 
 // addBehind starts a process of VM i whose clock is set back.
-func (w *network) addBehind(i int, by time.Duration, sole bool) *host {
+func (w *network) addBehind(i int, by time.Duration, sole bool) *process {
 	return w.addWith(membership.Options{
-		Self: &pb.MemberUpdate{Vm: hostName(i), Incarnation: uint64(w.now.Add(-by).UnixMicro()), Region: "north", DataCentre: "north-1",
+		Self: &pb.MemberUpdate{Vm: vmName(i), Incarnation: uint64(w.now.Add(-by).UnixMicro()), Region: "north", DataCentre: "north-1",
 			CallerAddress: "10.0.0.1:7000", PeerAddress: address(i)},
 		Sole: sole,
 		Seed: w.rand.Uint64(),
 	})
 }
 
-func (w *network) addWith(opts membership.Options) *host {
-	h := &host{name: opts.Self.Vm, opts: opts}
+func (w *network) addWith(opts membership.Options) *process {
+	h := &process{name: opts.Self.Vm, opts: opts}
 	h.node = membership.New(w.now, h.opts)
-	w.hosts = append(w.hosts, h)
+	w.processes = append(w.processes, h)
 	w.byVM[h.name] = h
 	w.byAddress[opts.Self.PeerAddress] = h
 	return h
@@ -117,7 +117,7 @@
 	}
 }
 
-func (w *network) do(h *host, step func(*membership.Node) membership.Actions) {
+func (w *network) do(h *process, step func(*membership.Node) membership.Actions) {
 	act := step(h.node)
 	if act.Revalidate {
 		h.events = append(h.events, "revalidate")
@@ -134,7 +134,7 @@
 	}
 }
 
-func (w *network) send(from *host, s membership.Send) {
+func (w *network) send(from *process, s membership.Send) {
 	w.serial++
 	s.Datagram.Sequence = w.serial
 	size := proto.Size(s.Datagram) + membership.SignatureBytes
@@ -142,7 +142,7 @@
 	w.datagrams++
 	w.longest = max(w.longest, size)
 	if s.DataCentre != from.opts.Self.DataCentre {
-		w.crossing += size + headerBytes
+		w.remoteBytes += size + headerBytes
 	}
 	to := w.byAddress[s.Address]
 	if to == nil || w.cut(from.name, to.name) {
@@ -168,7 +168,7 @@
 		next := w.now.Add(tick)
 		w.deliver(next)
 		w.now = next
-		for _, h := range w.hosts {
+		for _, h := range w.processes {
 			if h.down || h.paused {
 				continue
 			}
@@ -192,7 +192,7 @@
 	}
 }
 
-func (w *network) drain(h *host) {
+func (w *network) drain(h *process) {
 	inbox := h.inbox
 	h.inbox = nil
 	for _, d := range inbox {
@@ -209,14 +209,14 @@
 
 // state is how from sees to.
 func (w *network) state(from, to int) pb.MemberState {
-	m, _ := w.hosts[from].node.View().Find(hostName(to))
+	m, _ := w.processes[from].node.View().Find(vmName(to))
 	return m.State
 }
 
 // agree tells whether every host that is up sees the members of want, and no
 // other, serving.
 func (w *network) agree(want ...int) bool {
-	for _, h := range w.hosts {
+	for _, h := range w.processes {
 		if h.down || h.paused {
 			continue
 		}
@@ -225,7 +225,7 @@
 			return false
 		}
 		for i, m := range serving {
-			if m.VM != hostName(want[i]) {
+			if m.VM != vmName(want[i]) {
 				return false
 			}
 		}
@@ -233,8 +233,8 @@
 	return true
 }
 
-// until runs until ok or the limit and returns the time it took.
-func (w *network) until(limit time.Duration, ok func() bool) (time.Duration, bool) {
+// runUntil runs until ok or the limit and returns the time it took.
+func (w *network) runUntil(limit time.Duration, ok func() bool) (time.Duration, bool) {
 	start := w.now
 	for w.now.Sub(start) < limit {
 		if ok() {
@@ -262,7 +262,7 @@
 type flight struct {
 	at       time.Time
 	serial   uint64
-	to       *host
+	to       *process
 	datagram *pb.Datagram
 }
 
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -1,8 +1,9 @@
-// Package membership decides which VMs of the fleet are alive, suspected,
-// leaving or gone. It follows the SWIM protocol: each node probes one peer a
-// period, asks others to probe before it suspects, and spreads what it learns
-// on the probes themselves. A Node is a pure state machine: it is given the
-// time and the datagrams, and returns what to send; internal/gossip drives it.
+// Package membership tracks which VMs of the fleet are alive, suspected, leaving
+// or dead. It implements the SWIM protocol: each node probes one member per
+// period, asks other members to probe a silent one before it suspects it, and
+// piggybacks membership updates on the probes. Node is a pure state machine: it
+// takes the time and received datagrams and returns the datagrams to send.
+// Package gossip drives it.
 package membership
 
 import (
@@ -14,14 +15,14 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// MaxDatagram is the most bytes of one UDP payload, signature included: below
-// it no path of ours fragments.
+// MaxDatagram is the largest UDP payload in bytes, signature included. Datagrams
+// up to this size are not fragmented on any network path in use.
 const MaxDatagram = 1200
 
-// SignatureBytes is the room a datagram leaves for its signature.
+// SignatureBytes is the space reserved in each datagram for its signature.
 const SignatureBytes = 32
 
-// Defaults of Timing.
+// Default values of Timing.
 const (
 	DefaultPeriod          = time.Second
 	DefaultDirectTimeout   = 300 * time.Millisecond
@@ -34,75 +35,80 @@
 	DefaultUpdateRate      = 1500
 )
 
-// Timing is the protocol's times and counts; zero values take the defaults.
+// Timing holds the protocol's intervals and counts. Zero fields take the defaults.
 type Timing struct {
-	// Period is the time between two probes.
+	// Period is the interval between two probes.
 	Period time.Duration
-	// DirectTimeout is the wait for an answer before others are asked to probe.
+	// DirectTimeout is how long a direct probe may stay unanswered before other
+	// members are asked to probe the target.
 	DirectTimeout time.Duration
-	// SuspicionFactor times log10 of the members is the periods that a suspect
-	// has to refute.
+	// SuspicionFactor times log10 of the number of members gives the number of
+	// periods that a suspect has to refute the suspicion.
 	SuspicionFactor float64
-	// Indirect is how many peers are asked to probe, and how many a node that
-	// was paused must hear from.
+	// Indirect is the number of members asked for an indirect probe, and the number
+	// of members that must answer a node after a pause.
 	Indirect int
-	// Tombstone is how long a dead member that is not listed is remembered.
+	// Tombstone is how long a dead member is kept that the platform does not list.
 	Tombstone time.Duration
-	// JoinGrace is how long the platform's list may lag behind a join.
+	// JoinGrace is how long the platform's list may take to include a new VM.
 	JoinGrace time.Duration
-	// Pause is the gap between two ticks from which views are suspect.
+	// Pause is the gap between two ticks from which the node counts as paused and
+	// must revalidate its view.
 	Pause time.Duration
-	// AskAgain is how long a node that was paused waits for answers before it
-	// asks again; after three rounds it goes on with those it has.
+	// AskAgain is how long a revalidating node waits for answers before it sends
+	// more probes. After three rounds it continues with the answers it has.
 	AskAgain time.Duration
-	// UpdateRate bounds the bytes a second spent on updates.
+	// UpdateRate limits the bytes per second spent on updates.
 	UpdateRate float64
 }
 
-// Options is what a node needs.
+// Options configures a Node.
 type Options struct {
-	// Self names this VM: its state and refutation are ignored.
+	// Self describes this VM. Its State and Refutation are ignored.
 	Self *pb.MemberUpdate
-	// Seeds are peer addresses asked while no member answers.
+	// Seeds are peer addresses to probe in addition to the known members, so that a
+	// node with no contacts can join.
 	Seeds []string
-	// Sole says that no other process can have this VM's name: a higher
-	// incarnation of it is a predecessor whose clock was ahead, and this process
-	// takes a higher one still instead of giving way.
+	// Sole asserts that no other process can have this VM's name. A higher
+	// incarnation of the same name then comes from a predecessor whose clock was
+	// ahead: this process takes a still higher incarnation instead of stopping.
 	Sole bool
-	// KeepNear lets a node that has enough neighbours in its data centre probe and tell
-	// mostly these.
+	// KeepNear makes a node with enough members in its own data centre send most
+	// probes and updates to them.
 	KeepNear bool
-	// Seed makes the node's random choices repeatable.
+	// Seed seeds the node's random choices, so that they are repeatable.
 	Seed   uint64
 	Timing Timing
 }
 
-// Send is a datagram to send. The driver stamps its sequence.
+// Send is a datagram to send. The driver sets its sequence number.
 type Send struct {
 	Address string
-	// Region and DataCentre are the receiver's, empty when only its address is known.
+	// Region and DataCentre locate the receiver. They are empty if only its address
+	// is known.
 	Region     string
 	DataCentre string
 	Datagram   *pb.Datagram
 }
 
-// Actions is what the driver has to do after a step.
+// Actions tells the driver what to do after a step.
 type Actions struct {
 	Sends []Send
-	// ViewChanged says that View gives another one now.
+	// ViewChanged reports that View returns a new view.
 	ViewChanged bool
-	// Revalidate says that this node was paused: what it knows may be out of
-	// date, so no new work is to start until Revalidated.
+	// Revalidate reports that this node was paused. Its view may be out of date, so
+	// no new work may start until Revalidated.
 	Revalidate bool
-	// Revalidated ends it; Alone says that no peer answered.
+	// Revalidated reports the end of the revalidation; Alone reports that no member
+	// answered during it.
 	Revalidated bool
 	Alone       bool
-	// Superseded is the incarnation of a newer process with this node's name,
-	// or 0: this process must stop serving.
+	// Superseded is the incarnation of a newer process with this node's name, or 0.
+	// If it is set, this process must stop serving.
 	Superseded uint64
 }
 
-// Stats counts what a node did.
+// Stats counts protocol events since the node was created.
 type Stats struct {
 	Probes         uint64
 	IndirectProbes uint64
@@ -114,56 +120,58 @@
 	Outdated       uint64
 }
 
-// Node is one VM's membership. It is not safe for concurrent use.
+// Node is the membership state of one VM. It is not safe for concurrent use.
 type Node struct {
 	opts   Options
 	timing Timing
 	rand   *rand.Rand
 	self   *record
 	table  table
-	hot    queue
-
-	// era and revision are the configuration that this node announces.
-	era, revision uint64
-	confirmed     time.Time
-	version       uint64
-	view          *View
-	lastTick      time.Time
-	heardAt       time.Time
-	nextProbe     time.Time
-	nextSpread    time.Time
-	nextLost      int
-	// nextFar is in how many periods a member of another data centre is probed.
-	nextFar int
-	// keeping says that this node keeps to its data centre; watched is until when the
-	// members of others are probed in turn all the same.
-	keeping    bool
-	watched    map[string]time.Time
-	ring       []string
-	pending    *probe
-	relays     map[uint64]relay
-	lastID     uint64
-	budget     budget
-	doubt      *doubt
-	outdatedAt time.Time
-	list       []*pb.VM
-	superseded bool
-	stats      Stats
-
-	// now, out and dirty belong to the step under way.
+	queue  updateQueue
+
+	// era and revision identify the configuration that this node announces.
+	era, revision     uint64
+	confirmed         time.Time
+	version           uint64
+	view              *View
+	lastTick          time.Time
+	lastReceived      time.Time
+	nextProbe         time.Time
+	nextDissemination time.Time
+	sinceReconnect    int
+	// untilRemoteProbe counts the periods left until a member of another data centre
+	// is probed.
+	untilRemoteProbe int
+	// preferLocal is set while this node mostly contacts its own data centre. watched
+	// maps another data centre to the time until which its members are probed in
+	// turn as well.
+	preferLocal  bool
+	watched      map[string]time.Time
+	ring         []string
+	pending      *probe
+	relays       map[uint64]relay
+	lastID       uint64
+	budget       budget
+	revalidation *revalidation
+	outdatedAt   time.Time
+	list         []*pb.VM
+	superseded   bool
+	stats        Stats
+
+	// now, out and dirty hold the state of the step in progress.
 	now   time.Time
 	out   Actions
 	dirty bool
 }
 
-// New makes a node that knows only itself.
+// New returns a node that knows only itself.
 func New(now time.Time, opts Options) *Node {
 	n := &Node{
 		opts:    opts,
 		timing:  opts.Timing.withDefaults(),
 		rand:    rand.New(rand.NewPCG(opts.Seed, opts.Self.Incarnation)),
 		table:   newTable(),
-		hot:     newQueue(),
+		queue:   newUpdateQueue(),
 		relays:  map[uint64]relay{},
 		watched: map[string]time.Time{},
 		now:     now,
@@ -173,11 +181,12 @@
 	n.self.State = pb.MemberState_ALIVE
 	n.self.refutation = 0
 	n.table.insert(n.self)
-	// Nodes that start together must not all probe the same one at once.
+	// Random offsets keep nodes that start together from probing the same member at
+	// the same time.
 	n.nextProbe = now.Add(time.Duration(n.rand.Int64N(int64(n.timing.Period))))
-	n.nextLost = n.rand.IntN(lostEvery)
+	n.sinceReconnect = n.rand.IntN(reconnectInterval)
 	if opts.KeepNear {
-		n.nextFar = n.rand.IntN(farEvery)
+		n.untilRemoteProbe = n.rand.IntN(remoteProbeInterval)
 	}
 	n.view = n.buildView()
 	return n
@@ -203,26 +212,26 @@
 	}
 }
 
-// View is the members as this node sees them now.
+// View returns the current members as this node sees them.
 func (n *Node) View() *View { return n.view }
 
-// Stats is what the node did so far.
+// Stats returns the event counters.
 func (n *Node) Stats() Stats { return n.stats }
 
-// InDoubt tells whether this node was paused and has not heard from its peers
-// since.
-func (n *Node) InDoubt() bool { return n.doubt != nil }
+// InDoubt reports whether this node was paused and has not finished its
+// revalidation.
+func (n *Node) InDoubt() bool { return n.revalidation != nil }
 
-// SetRevision tells the node which configuration revision to announce, and of which era of
-// the store it is, 0 for none.
+// SetRevision sets the configuration revision to announce and the store era that
+// it belongs to, 0 if there is none.
 func (n *Node) SetRevision(era, revision uint64) { n.era, n.revision = era, revision }
 
-// SetConfirmed tells when the store last confirmed what this node knows, here or
-// at a peer; its age is announced.
+// SetConfirmed sets when the store last confirmed this node's configuration,
+// directly or through a peer. Datagrams carry the age of that confirmation.
 func (n *Node) SetConfirmed(at time.Time) { n.confirmed = at }
 
-// SetCapacity announces the work that this VM can carry for callers, in
-// thousandths of a core; 0 takes it out of the answers to callers.
+// SetCapacity announces how much work this VM can do for callers, in thousandths
+// of a core. With 0 the VM is left out of the addresses given to callers.
 func (n *Node) SetCapacity(now time.Time, capacity uint32) Actions {
 	n.begin(now)
 	if n.self.Capacity != capacity {
@@ -230,33 +239,35 @@
 			n.self.Capacity = capacity
 			n.self.refutation++
 		})
-		n.spread(n.self)
+		n.enqueue(n.self)
 		n.dirty = true
 	}
 	return n.end()
 }
 
-// Announce tells some peers what this node knows, without waiting for their
-// turn: some of its data centre and a few of the others of its region and, when wide,
-// more of them and a few of each other region. Each passes it on to a few of its own.
+// Announce sends this node's state immediately to two members of its own data
+// centre and two of each other data centre of its region. If wide is set, it also
+// sends to two members of each other region. Receivers forward it in the same way
+// without wide.
 func (n *Node) Announce(now time.Time, wide bool) Actions {
 	n.begin(now)
-	most := announceNarrow
+	limits := announceNarrow
 	if wide {
-		most = announceWide
+		limits = announceWide
 	}
-	told := map[group]int{}
+	sent := map[announceGroup]int{}
 	for _, r := range n.pick(len(n.table.sorted), func(r *record) bool { return r.serves() }) {
-		g := n.groupOf(r)
-		if told[g] < most[g.distance] {
-			told[g]++
+		g := n.announceGroupOf(r)
+		if sent[g] < limits[g.distance] {
+			sent[g]++
 			n.send(r.PeerAddress, &pb.Datagram{}, r)
 		}
 	}
 	return n.end()
 }
 
-// Broadcast gives members that take work entries of the quarantine: so many of them, or all.
+// Broadcast sends quarantine entries to at most the given number of random members
+// that are alive or suspected; All sends them to every one.
 func (n *Node) Broadcast(now time.Time, entries []*pb.QuarantineEntry, most int) Actions {
 	n.begin(now)
 	for _, r := range n.pick(most, func(r *record) bool { return r.serves() }) {
@@ -265,111 +276,115 @@
 	return n.end()
 }
 
-// All is as many members as there may be.
+// All is a member count without a limit.
 const All = math.MaxInt
 
-// group is members of which an announcement goes to a few: those of this node's data
-// centre, of another one of its region, or of another region.
-type group struct {
+// announceGroup identifies a set of members of which an announcement goes to a
+// few: this node's data centre, another data centre of its region, or another
+// region.
+type announceGroup struct {
 	distance locality.Distance
 	name     string
 }
 
-func (n *Node) groupOf(r *record) group {
+func (n *Node) announceGroupOf(r *record) announceGroup {
 	d := locality.Place{Region: n.self.Region, DataCentre: n.self.DataCentre}.To(r.Region, r.DataCentre)
 	if d == locality.Far {
-		return group{d, r.Region}
+		return announceGroup{d, r.Region}
 	}
-	return group{d, r.DataCentre}
+	return announceGroup{d, r.DataCentre}
 }
 
-// How many members of each group an announcement goes to directly, by their distance:
-// when it comes from the store, and when it is passed on. Each region has it once from
-// elsewhere, and a second time should that be lost.
+// announceWide and announceNarrow give the number of members per group that receive an
+// announcement directly, by their distance. A wide announcement follows a read from the
+// store, a narrow one forwards it. Two members of each remote region receive it, in case
+// one datagram is lost.
 var (
 	announceWide   = [locality.Distances + 1]int{locality.Near: 2, locality.Regional: 2, locality.Far: 2}
 	announceNarrow = [locality.Distances + 1]int{locality.Near: 2, locality.Regional: 2}
 )
 
-// Tick moves time on. It is to be called several times a period.
+// Tick advances the node's timers. The driver calls it several times per period.
 func (n *Node) Tick(now time.Time) Actions {
 	n.begin(now)
-	n.notePause()
+	n.detectPause()
 	n.lastTick = now
 	n.expireSuspicions()
-	n.forgetDead()
+	n.reapDead()
 	n.advanceProbe()
-	n.advanceDoubt()
-	n.advanceSpread()
+	n.advanceRevalidation()
+	n.advanceDissemination()
 	return n.end()
 }
 
-// Receive takes in a datagram that the driver has authenticated and checked.
+// Receive processes a datagram that the driver has authenticated and validated.
 func (n *Node) Receive(now time.Time, d *pb.Datagram) Actions {
 	n.begin(now)
-	n.heardAt = now
-	n.learn(d.Sender)
+	n.lastReceived = now
+	n.applyUpdate(d.Sender)
 	for _, u := range d.Updates {
-		n.learn(u)
+		n.applyUpdate(u)
 	}
-	n.answer(d)
+	n.handleBody(d)
 	return n.end()
 }
 
-// Self is what this node says of itself.
-func (n *Node) Self() *pb.MemberUpdate { return n.self.update() }
+// Self returns this node's own record as an update.
+func (n *Node) Self() *pb.MemberUpdate { return n.self.fullUpdate() }
 
-// Updates is what this node holds of the fleet, itself included, for a process
-// that asks for all of it.
+// Updates returns all members that this node has an incarnation of, itself
+// included, for a process that requests the full list.
 func (n *Node) Updates() []*pb.MemberUpdate {
 	out := make([]*pb.MemberUpdate, 0, len(n.table.sorted))
 	for _, r := range n.table.sorted {
 		if r.Incarnation == 0 {
 			continue
 		}
-		u := r.update()
+		u := r.fullUpdate()
 		u.SecondHand = r != n.self
 		out = append(out, u)
 	}
 	return out
 }
 
-// Learn takes in what a peer holds of the fleet. Members that this node meets by it are no
-// news: whoever heard of them first passes them on. Passed on by each process that starts,
-// with a fleet of hundreds the whole list would travel again a dozen times a VM.
+// Learn merges a list of members received from a peer. Members that were unknown
+// so far are not queued for dissemination, because the node that first learnt of
+// them already disseminates them. Otherwise each starting process would spread the
+// whole list again: in a fleet of hundreds, a dozen copies per VM.
 func (n *Node) Learn(now time.Time, updates []*pb.MemberUpdate) Actions {
 	n.begin(now)
 	for _, u := range updates {
-		stranger := n.table.get(u.Vm) == nil
-		n.learn(u)
-		if stranger {
-			n.hot.drop(u.Vm)
+		unknown := n.table.get(u.Vm) == nil
+		n.applyUpdate(u)
+		if unknown {
+			n.queue.drop(u.Vm)
 		}
 	}
 	return n.end()
 }
 
-// Outdated answers a datagram of an incarnation that a newer one has replaced:
-// without it the old process would take itself for a member for ever. At most
-// one answer goes out a period.
+// Outdated answers a datagram from an incarnation that a newer one has replaced.
+// Without the answer the old process would never learn that it was replaced. At
+// most one answer is sent per period.
 func (n *Node) Outdated(now time.Time, sender *pb.MemberUpdate) Actions {
 	n.begin(now)
 	r := n.table.get(sender.Vm)
 	if r != nil && r.Incarnation > sender.Incarnation && now.Sub(n.outdatedAt) >= n.timing.Period {
 		n.outdatedAt = now
 		n.stats.Outdated++
-		n.send(sender.PeerAddress, &pb.Datagram{Updates: []*pb.MemberUpdate{r.update()}}, nil)
+		n.send(sender.PeerAddress, &pb.Datagram{Updates: []*pb.MemberUpdate{r.fullUpdate()}}, nil)
 	}
 	return n.end()
 }
 
-// Leave announces a planned stop, at once and to several peers: each of them
-// passes this VM's upstreams on as soon as it hears of it.
+// Leave announces a planned stop immediately to several members. Each of them
+// moves this VM's upstreams to other owners as soon as it receives the
+// announcement.
 func (n *Node) Leave(now time.Time) Actions {
 	n.begin(now)
 	if n.self.State != pb.MemberState_LEAVING {
 		n.self.refutation++
-		n.change(n.self, pb.MemberState_LEAVING)
+		n.setState(n.self, pb.MemberState_LEAVING)
 	}
 	for _, r := range n.pick(leaveFanout, func(r *record) bool { return r.serves() }) {
 		n.send(r.PeerAddress, &pb.Datagram{}, r)
@@ -377,7 +392,8 @@
 	return n.end()
 }
 
-// leaveFanout is how many peers are told directly of a planned stop.
+// leaveFanout is the number of members that are notified directly of a planned
+// stop.
 const leaveFanout = 16
 
 func (n *Node) begin(now time.Time) {
@@ -399,19 +415,19 @@
 func (n *Node) buildView() *View {
 	v := &View{Version: n.version, Members: make([]Member, 0, len(n.table.sorted))}
 	for _, r := range n.table.sorted {
-		v.Members = append(v.Members, r.shown())
+		v.Members = append(v.Members, r.viewMember())
 	}
 	return v
 }
 
-// suspicionTimeout grows with the log of the members, as does the time an
-// update takes to reach them all.
+// suspicionTimeout grows with the logarithm of the number of members, as does the
+// time an update takes to reach all of them.
 func (n *Node) suspicionTimeout() time.Duration {
 	scale := max(1, math.Log10(float64(len(n.table.sorted)+1)))
 	return time.Duration(n.timing.SuspicionFactor * scale * float64(n.timing.Period))
 }
 
-// pick chooses up to k members at random, never this node.
+// pick returns up to k random members that satisfy ok, never this node.
 func (n *Node) pick(k int, ok func(*record) bool) []*record {
 	all := make([]*record, 0, len(n.table.sorted))
 	for _, r := range n.table.sorted {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// lostEvery is how many periods pass between two probes of a member held
-	// dead or of a seed: two halves of a healed partition find each other by it.
-	lostEvery = 5
-	// spreadPerPeriod is how many extra datagrams go out a period while there is
-	// news.
-	spreadPerPeriod = 2
-	// relayLife is how many periods an indirect probe is remembered.
-	relayLife = 2
+	// reconnectInterval is the number of periods between two probes of a dead member or
+	// a seed. These probes rejoin the two sides of a healed partition.
+	reconnectInterval = 5
+	// disseminationsPerPeriod is the number of datagrams per period that carry queued
+	// updates besides the probes.
+	disseminationsPerPeriod = 2
+	// relayPeriods is the number of periods after which an indirect probe is dropped.
+	relayPeriods = 2
 )
 
-// probe is the probe of this period.
+// probe is this node's own probe of the current period.
 type probe struct {
 	id       uint64
 	target   string
@@ -26,47 +26,47 @@
 	indirect bool
 }
 
-// relay is an indirect probe made for a peer.
+// relay is an indirect probe made on behalf of a peer.
 type relay struct {
 	address string
 	id      uint64
 	at      time.Time
 }
 
-// advanceProbe ends the probe of the last period and starts the next.
+// advanceProbe finishes the probe of the last period and starts the next one.
 func (n *Node) advanceProbe() {
-	n.askOthers()
+	n.sendIndirectProbes()
 	if n.now.Before(n.nextProbe) {
 		return
 	}
-	n.endProbe()
+	n.finishProbe()
 	n.nextProbe = n.now.Add(n.period())
 	n.startProbe()
-	n.probeAccused()
-	n.nextLost++
-	if n.nextLost >= lostEvery || n.unheard() {
-		n.nextLost = 0
-		n.probeLost()
+	n.reprobeSuspects()
+	n.sinceReconnect++
+	if n.sinceReconnect >= reconnectInterval || n.hasNoContact() {
+		n.sinceReconnect = 0
+		n.probeReconnect()
 	}
 	for id, r := range n.relays {
-		if n.now.Sub(r.at) >= relayLife*n.timing.Period {
+		if n.now.Sub(r.at) >= relayPeriods*n.timing.Period {
 			delete(n.relays, id)
 		}
 	}
 }
 
-// period is shorter until a first peer has been heard, so that a start does not
-// wait for its turn.
+// period returns a shorter interval until the first datagram is received, so that a
+// starting node finds its peers quickly.
 func (n *Node) period() time.Duration {
-	if n.unheard() {
+	if n.hasNoContact() {
 		return n.timing.DirectTimeout
 	}
 	return n.timing.Period
 }
 
-func (n *Node) unheard() bool { return n.heardAt.IsZero() }
+func (n *Node) hasNoContact() bool { return n.lastReceived.IsZero() }
 
-func (n *Node) askOthers() {
+func (n *Node) sendIndirectProbes() {
 	p := n.pending
 	if p == nil || p.acked || p.indirect || n.now.Sub(p.sentAt) < n.timing.DirectTimeout {
 		return
@@ -79,20 +79,20 @@
 	}
 }
 
-func (n *Node) endProbe() {
+func (n *Node) finishProbe() {
 	p := n.pending
 	n.pending = nil
 	if p == nil || p.acked {
 		return
 	}
 	if r := n.table.get(p.target); r != nil {
-		n.fail(r, n.heardAt.Before(p.sentAt))
+		n.handleProbeFailure(r, n.lastReceived.Before(p.sentAt))
 	}
 }
 
 func (n *Node) startProbe() {
-	n.lookNear()
-	r := n.farTurn()
+	n.updatePreferLocal()
+	r := n.nextRemoteTarget()
 	if r == nil {
 		r = n.nextInRing()
 	}
@@ -100,12 +100,12 @@
 		return
 	}
 	n.stats.Probes++
-	id := n.probe(r)
+	id := n.sendProbe(r)
 	n.pending = &probe{id: id, target: r.VM, sentAt: n.now}
 }
 
-// probe sends a probe to a member and returns its id.
-func (n *Node) probe(r *record) uint64 {
+// sendProbe sends a probe to a member and returns its id.
+func (n *Node) sendProbe(r *record) uint64 {
 	n.send(r.PeerAddress, n.newProbe(r.VM), r)
 	return n.lastID
 }
@@ -116,8 +116,8 @@
 	return &pb.Datagram{Body: &pb.Datagram_Probe{Probe: body}}
 }
 
-// nextInRing goes round the members in an order shuffled anew each round: each
-// is probed once a round, which bounds the time until a death is noticed.
+// nextInRing returns the next member of the current round. Each member is probed once
+// per round, which bounds the time to detect a failure; each round has a new order.
 func (n *Node) nextInRing() *record {
 	for range 2 {
 		for len(n.ring) > 0 {
@@ -127,22 +127,22 @@
 				return r
 			}
 		}
-		n.round()
+		n.startRound()
 	}
 	return nil
 }
 
-// probeAccused asks the members that this node itself suspects again: one that
-// is alive learns of the suspicion and refutes it, in time for the refutation to
-// reach everybody. Left to chance, it would often hear of it too late.
-func (n *Node) probeAccused() {
-	for _, r := range n.pick(n.timing.Indirect, func(r *record) bool { return r.accused }) {
-		n.probe(r)
+// reprobeSuspects probes again members that this node itself suspects. A live one learns
+// of the suspicion and refutes it, early enough for the refutation to reach every
+// node. By random dissemination alone, it would often learn of it too late.
+func (n *Node) reprobeSuspects() {
+	for _, r := range n.pick(n.timing.Indirect, func(r *record) bool { return r.suspectedBySelf }) {
+		n.sendProbe(r)
 	}
 }
 
-// enterRing puts a new or returned member at a random place of this round.
-func (n *Node) enterRing(r *record) {
+// addToRing inserts a new or returned member at a random position of this round.
+func (n *Node) addToRing(r *record) {
 	if !n.inRing(r) {
 		return
 	}
@@ -151,11 +151,11 @@
 	n.ring[i], n.ring[last] = n.ring[last], n.ring[i]
 }
 
-// probeLost probes one address at which no live member is known: that of a
-// member held dead, one that the list gives, this VM's own name included, or a
-// seed. Without the list's, processes that were all replaced elsewhere while
-// they were paused would keep to themselves.
-func (n *Node) probeLost() {
+// probeReconnect probes one address at which no live member is known: the address of a
+// dead member, an address on the platform's list, that of this VM's own entry
+// included, or a seed. Without the listed addresses, processes that were all replaced
+// elsewhere while they were paused would never contact their successors.
+func (n *Node) probeReconnect() {
 	var addresses []string
 	known := map[string]bool{n.self.PeerAddress: true}
 	for _, r := range n.table.sorted {
@@ -182,12 +182,12 @@
 		return
 	}
 	address := addresses[n.rand.IntN(len(addresses))]
-	n.send(address, n.newProbe(""), n.byAddress(address))
+	n.send(address, n.newProbe(""), n.deadMemberAt(address))
 }
 
-// byAddress finds the dead member at an address, so that it is told what is
-// held of it and can refute it.
-func (n *Node) byAddress(address string) *record {
+// deadMemberAt returns the dead member at an address, so that the probe carries its
+// state and it can refute that.
+func (n *Node) deadMemberAt(address string) *record {
 	for _, r := range n.table.sorted {
 		if r.PeerAddress == address && r.State == pb.MemberState_DEAD {
 			return r
@@ -196,8 +196,8 @@
 	return nil
 }
 
-// answer replies to the body of a datagram.
-func (n *Node) answer(d *pb.Datagram) {
+// handleBody processes the probe, acknowledgement or probe request of a datagram.
+func (n *Node) handleBody(d *pb.Datagram) {
 	sender := n.table.get(d.Sender.Vm)
 	switch b := d.Body.(type) {
 	case *pb.Datagram_Probe:
@@ -205,25 +205,25 @@
 			return
 		}
 		ack := &pb.Datagram{Body: &pb.Datagram_Ack{Ack: &pb.ProbeAck{Id: b.Probe.Id}}}
-		n.sendSync(d.Sender.PeerAddress, ack, sender, b.Probe.Digest)
+		n.sendWithSync(d.Sender.PeerAddress, ack, sender, b.Probe.Digest)
 	case *pb.Datagram_Ack:
-		n.acked(b.Ack.Id, d.Sender.Vm)
+		n.handleAck(b.Ack.Id, d.Sender.Vm)
 	case *pb.Datagram_ProbeRequest:
 		target := n.table.get(b.ProbeRequest.Target)
 		if target == nil || target == n.self {
 			return
 		}
-		id := n.probe(target)
+		id := n.sendProbe(target)
 		n.relays[id] = relay{address: d.Sender.PeerAddress, id: b.ProbeRequest.Id, at: n.now}
 	}
 }
 
-func (n *Node) acked(id uint64, from string) {
+func (n *Node) handleAck(id uint64, from string) {
 	if p := n.pending; p != nil && p.id == id {
 		p.acked = true
 	}
-	if n.doubt != nil {
-		n.doubt.acked(id, from)
+	if n.revalidation != nil {
+		n.revalidation.handleAck(id, from)
 	}
 	r, ok := n.relays[id]
 	if !ok {
@@ -233,13 +233,13 @@
 	n.send(r.address, &pb.Datagram{Body: &pb.Datagram_Ack{Ack: &pb.ProbeAck{Id: r.id}}}, nil)
 }
 
-// advanceSpread sends news on its own, besides the probes, while there is any.
-func (n *Node) advanceSpread() {
-	if n.hot.empty() || n.now.Before(n.nextSpread) {
+// advanceDissemination sends queued updates in datagrams of their own while there are any.
+func (n *Node) advanceDissemination() {
+	if n.queue.empty() || n.now.Before(n.nextDissemination) {
 		return
 	}
-	n.nextSpread = n.now.Add(n.timing.Period / spreadPerPeriod)
-	for _, r := range n.newsTo() {
+	n.nextDissemination = n.now.Add(n.timing.Period / disseminationsPerPeriod)
+	for _, r := range n.disseminationTargets() {
 		n.send(r.PeerAddress, &pb.Datagram{}, r)
 	}
 }
--- a/internal/membership/rapid_test.go
+++ b/internal/membership/rapid_test.go
@@ -17,21 +17,21 @@
 type machine struct {
 	w *network
 	// current is the newest process of each VM.
-	current []*host
+	current []*process
 	started int
 	leaving []bool
-	held    map[*host]map[string]membership.Rank
+	held    map[*process]map[string]membership.Rank
 }
 
 const machineVMs = 5
 
 func newMachine(seed uint64) *machine {
-	m := &machine{w: newNetwork(seed), leaving: make([]bool, machineVMs), held: map[*host]map[string]membership.Rank{}}
+	m := &machine{w: newNetwork(seed), leaving: make([]bool, machineVMs), held: map[*process]map[string]membership.Rank{}}
 	m.w.loss = 0.02
 	m.w.duplicate = 0.05
 	m.w.delay = reorder(m.w)
 	m.w.fill(machineVMs)
-	m.current = append(m.current, m.w.hosts...)
+	m.current = append(m.current, m.w.processes...)
 	m.w.run(10 * time.Second)
 	return m
 }
@@ -51,8 +51,8 @@
 // Crash ends every process of a VM: were an old one to wake after its successor
 // has crashed unheard of, nobody could know better than to take it back.
 func (m *machine) Crash(t *rapid.T) {
-	name := hostName(m.draw(t))
-	for _, h := range m.w.hosts {
+	name := vmName(m.draw(t))
+	for _, h := range m.w.processes {
 		h.down = h.down || h.name == name
 	}
 }
@@ -74,7 +74,7 @@
 func (m *machine) Pause(t *rapid.T) { m.current[m.draw(t)].paused = true }
 
 func (m *machine) Resume(*rapid.T) {
-	for _, h := range m.w.hosts {
+	for _, h := range m.w.processes {
 		h.paused = false
 	}
 }
@@ -90,13 +90,13 @@
 }
 
 func (m *machine) Cut(t *rapid.T) {
-	from, to := hostName(m.draw(t)), hostName(m.draw(t))
+	from, to := vmName(m.draw(t)), vmName(m.draw(t))
 	before := m.w.cut
 	m.w.cut = func(a, b string) bool { return before(a, b) || a == from && b == to }
 }
 
 func (m *machine) Split(t *rapid.T) {
-	at := hostName(m.draw(t))
+	at := vmName(m.draw(t))
 	m.w.cut = func(a, b string) bool { return (a < at) != (b < at) }
 }
 
@@ -105,20 +105,20 @@
 func (m *machine) Wait(t *rapid.T) {
 	for range rapid.IntRange(1, 60).Draw(t, "ticks") {
 		m.w.run(tick)
-		m.look(t)
+		m.checkAll(t)
 	}
 }
 
 // Check is run by rapid after each step.
-func (m *machine) Check(t *rapid.T) { m.look(t) }
+func (m *machine) Check(t *rapid.T) { m.checkAll(t) }
 
-func (m *machine) look(t *rapid.T) {
-	for _, h := range m.w.hosts {
+func (m *machine) checkAll(t *rapid.T) {
+	for _, h := range m.w.processes {
 		if m.held[h] == nil {
 			m.held[h] = map[string]membership.Rank{}
 		}
 		for i := range machineVMs {
-			m.lookAt(t, h, hostName(i))
+			m.checkMember(t, h, vmName(i))
 		}
 	}
 	if m.w.longest > membership.MaxDatagram {
@@ -126,10 +126,10 @@
 	}
 }
 
-func (m *machine) lookAt(t *rapid.T, h *host, vm string) {
+func (m *machine) checkMember(t *rapid.T, h *process, vm string) {
 	before, now := m.held[h][vm], h.node.Rank(vm)
 	m.held[h][vm] = now
-	if now.Below(before) {
+	if now.OlderThan(before) {
 		t.Fatalf("%s held %+v of %s and goes back to %+v", h.name, before, vm, now)
 	}
 	if vm == h.name && now.State != pb.MemberState_ALIVE && now.State != pb.MemberState_LEAVING {
@@ -141,8 +141,8 @@
 }
 
 // owner is the process of an incarnation.
-func (m *machine) owner(vm string, incarnation uint64) *host {
-	for _, h := range m.w.hosts {
+func (m *machine) owner(vm string, incarnation uint64) *process {
+	for _, h := range m.w.processes {
 		if h.name == vm && h.opts.Self.Incarnation == incarnation {
 			return h
 		}
@@ -162,7 +162,7 @@
 			want = append(want, i)
 		}
 	}
-	_, ok := m.w.until(limit, func() bool { return m.agree(want) })
+	_, ok := m.w.runUntil(limit, func() bool { return m.agree(want) })
 	if !ok {
 		t.Fatalf("views do not agree on %v", want)
 	}
@@ -174,7 +174,7 @@
 	for i, h := range m.current {
 		list[i].PeerAddress = h.opts.Self.PeerAddress
 	}
-	for _, h := range m.w.hosts {
+	for _, h := range m.w.processes {
 		if !h.down {
 			m.w.do(h, func(n *membership.Node) membership.Actions { return n.SetList(m.w.now, list) })
 		}
@@ -184,7 +184,7 @@
 // agree looks at the newest processes; older ones must know that they are not,
 // unless no third VM is left that could tell them.
 func (m *machine) agree(want []int) bool {
-	for _, h := range m.w.hosts {
+	for _, h := range m.w.processes {
 		if h == m.w.byVM[h.name] || h.down {
 			continue
 		}
@@ -197,7 +197,7 @@
 }
 
 // others tells whether a VM of another name is up.
-func (m *machine) others(h *host) bool {
+func (m *machine) others(h *process) bool {
 	for _, o := range m.current {
 		if o.name != h.name && !o.down {
 			return true
@@ -229,7 +229,7 @@
 // Cause: room is counted in members and not in bytes.
 func TestDatagramsAreShortWithLongNames(t *testing.T) {
 	w := newNetwork(1)
-	long := func(i int) string { return hostName(i) + strings.Repeat("x", 63-len(hostName(i))) }
+	long := func(i int) string { return vmName(i) + strings.Repeat("x", 63-len(vmName(i))) }
 	const ipv6 = "[2001:0db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535"
 	for i := range 40 {
 		h := w.add(i)
@@ -243,7 +243,7 @@
 	if w.longest > membership.MaxDatagram {
 		t.Fatalf("a datagram of %d bytes", w.longest)
 	}
-	if got := len(w.hosts[39].node.View().Serving()); got != 40 {
+	if got := len(w.processes[39].node.View().Serving()); got != 40 {
 		t.Fatalf("%d members known", got)
 	}
 }
--- a/internal/membership/start_test.go
+++ b/internal/membership/start_test.go
@@ -15,45 +15,45 @@
 // startSeeds are the VMs that the others know of from the start, one a region.
 var startSeeds = []int{0, 2, 4}
 
-// joinsAfter is when a process asks for lists of members after its start, as the daemon
+// listRequestDelays is when a process asks for lists of members after its start, as the daemon
 // does.
-var joinsAfter = []time.Duration{0, 400 * time.Millisecond, 1100 * time.Millisecond, 2600 * time.Millisecond}
+var listRequestDelays = []time.Duration{0, 400 * time.Millisecond, 1100 * time.Millisecond, 2600 * time.Millisecond}
 
-// question is a question for a list that is due at a VM.
-type question struct {
+// listRequest is a question for a list that is due at a VM.
+type listRequest struct {
 	at    time.Time
 	vm    int
 	after time.Duration
 }
 
-// start is a fleet whose processes all start within some tenths of a second.
-type start struct {
+// startingFleet is a fleet whose processes all start within some tenths of a second.
+type startingFleet struct {
 	*network
 	count   int
 	begin   time.Time
-	started []*host
-	due     []question
-	// lists is the bytes of lists that other regions gave, not packed.
-	lists int
+	started []*process
+	pending []listRequest
+	// listBytes is the bytes of lists that other regions gave, not packed.
+	listBytes int
 }
 
-func newStart(seed uint64, count int) *start {
+func newStartingFleet(seed uint64, count int) *startingFleet {
 	w := newNetwork(seed)
 	w.loss = 0.01
-	s := &start{network: w, count: count, begin: w.now, started: make([]*host, count)}
+	s := &startingFleet{network: w, count: count, begin: w.now, started: make([]*process, count)}
 	for i := range count {
 		at := w.now.Add(time.Duration(w.rand.IntN(300)) * time.Millisecond)
-		for _, after := range joinsAfter {
-			s.due = append(s.due, question{at.Add(after), i, after})
+		for _, after := range listRequestDelays {
+			s.pending = append(s.pending, listRequest{at.Add(after), i, after})
 		}
 	}
 	return s
 }
 
 // step moves the fleet on by one tick of the network.
-func (s *start) step() {
+func (s *startingFleet) step() {
 	now := s.now
-	s.due = slices.DeleteFunc(s.due, func(q question) bool {
+	s.pending = slices.DeleteFunc(s.pending, func(q listRequest) bool {
 		if now.Before(q.at) {
 			return false
 		}
@@ -68,7 +68,7 @@
 
 // ask puts a question: everybody asks all seeds at its start and then the nearest; seeds
 // ask each other.
-func (s *start) ask(q question) {
+func (s *startingFleet) ask(q listRequest) {
 	for _, seed := range startSeeds {
 		if q.after == 0 || slices.Contains(startSeeds, q.vm) || regionOf(seed) == regionOf(q.vm) {
 			s.exchange(q.vm, seed, q.after > 0)
@@ -77,7 +77,7 @@
 }
 
 // exchange tells one VM of another one that asks it, and the asker what it gets for it.
-func (s *start) exchange(from, to int, whole bool) {
+func (s *startingFleet) exchange(from, to int, whole bool) {
 	if from == to || s.started[to] == nil {
 		return
 	}
@@ -92,14 +92,14 @@
 	for i, u := range list {
 		list[i] = proto.CloneOf(u)
 		if regionOf(from) != regionOf(to) {
-			s.lists += proto.Size(u)
+			s.listBytes += proto.Size(u)
 		}
 	}
 	s.do(asker, func(n *membership.Node) membership.Actions { return n.Learn(s.now, list) })
 }
 
-// least is how many VMs the one knows that knows fewest.
-func (s *start) least() int {
+// minKnown is how many VMs the one knows that knows fewest.
+func (s *startingFleet) minKnown() int {
 	least := s.count
 	for _, h := range s.started {
 		if h == nil {
@@ -118,21 +118,21 @@
 	// and what it told was passed on as news.
 	It("knows itself after two to three seconds, and little of it crosses between regions", func() {
 		for seed := range uint64(5) {
-			s := newStart(seed, 295)
+			s := newStartingFleet(seed, 295)
 			for s.now.Sub(s.begin) < 2*time.Second {
 				s.step()
 			}
-			Expect(s.least()).To(BeNumerically(">=", 290), "seed %d", seed)
+			Expect(s.minKnown()).To(BeNumerically(">=", 290), "seed %d", seed)
 			for s.now.Sub(s.begin) < 3200*time.Millisecond {
 				s.step()
 			}
-			Expect(s.least()).To(Equal(295), "seed %d", seed)
+			Expect(s.minKnown()).To(Equal(295), "seed %d", seed)
 			for s.now.Sub(s.begin) < 14*time.Second {
 				s.step()
 			}
-			Expect(s.least()).To(Equal(295), "seed %d", seed)
-			Expect(s.crossing).To(BeNumerically("<", 2_000_000), "bytes of datagrams between data centres, seed %d", seed)
-			Expect(s.lists).To(BeNumerically("<", 1_000_000), "bytes of lists between regions, seed %d", seed)
+			Expect(s.minKnown()).To(Equal(295), "seed %d", seed)
+			Expect(s.remoteBytes).To(BeNumerically("<", 2_000_000), "bytes of datagrams between data centres, seed %d", seed)
+			Expect(s.listBytes).To(BeNumerically("<", 1_000_000), "bytes of lists between regions, seed %d", seed)
 		}
 	})
 })
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -11,36 +11,37 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// digestBuckets is how many words the digest of a table has: members are
-// compared bucket by bucket, so that two tables that differ in one member
-// exchange a sixteenth of them.
+// digestBuckets is the number of hash values in a table's digest. Nodes compare
+// their tables bucket by bucket, so two tables that differ in one member exchange
+// one sixteenth of the members.
 const digestBuckets = 16
 
-// record is what a node holds of one member. Incarnation 0 is a member that is
-// listed and was never heard of.
+// record is the state of one member. Incarnation 0 marks a member that is listed
+// but has not been seen in gossip.
 type record struct {
 	Member
 	refutation uint64
-	// suspectUntil ends a suspicion: the member is dead then.
+	// suspectUntil is when a suspected member is declared dead.
 	suspectUntil time.Time
 	diedAt       time.Time
 	// firstSeen is when gossip first named this incarnation.
 	firstSeen time.Time
-	// listed is the VM's entry on the platform's list, nil without one.
+	// listed is the VM's entry on the platform's list, or nil.
 	listed *pb.VM
-	// accused is a suspicion that this node raised itself.
-	accused bool
-	bucket  int
+	// suspectedBySelf marks a suspicion raised by this node's own probe.
+	suspectedBySelf bool
+	bucket          int
 }
 
 func newRecord(u *pb.MemberUpdate, now time.Time) *record {
 	r := &record{Member: Member{VM: u.Vm}, firstSeen: now, bucket: bucketOf(u.Vm)}
-	r.take(u)
+	r.apply(u)
 	return r
 }
 
-// take copies what an update says. Updates without addresses leave them.
-func (r *record) take(u *pb.MemberUpdate) {
+// apply copies the fields of an update. An update without addresses leaves the
+// addresses as they are.
+func (r *record) apply(u *pb.MemberUpdate) {
 	r.Incarnation = u.Incarnation
 	r.refutation = u.Refutation
 	r.Capacity = u.Capacity
@@ -54,39 +55,41 @@
 	r.PeerAddress = u.PeerAddress
 }
 
-// news is the record as spread on a change. Whoever it reaches knows the
-// addresses of an incarnation that has refuted or is no longer alive, or gets
-// them with the next difference of digests; a third of the bytes are left.
-func (r *record) news() *pb.MemberUpdate {
+// changeUpdate returns the update that disseminates a change. It omits the
+// addresses if the incarnation has refuted a suspicion or is no longer alive:
+// receivers know them already or get them with the next digest sync. That reduces
+// the update to a third of its size.
+func (r *record) changeUpdate() *pb.MemberUpdate {
 	if r.refutation > 0 || r.State != pb.MemberState_ALIVE {
-		return r.brief()
+		return r.compactUpdate()
 	}
-	return r.difference()
+	return r.syncUpdate()
 }
 
-// difference is the record as sent to those that may not know the member: the
-// list has told them the addresses if they are as listed.
-func (r *record) difference() *pb.MemberUpdate {
-	if r.asListed() {
-		return r.brief()
+// syncUpdate returns the update for nodes that may not know the member. It omits
+// the addresses if they match the platform's list, which those nodes have.
+func (r *record) syncUpdate() *pb.MemberUpdate {
+	if r.matchesList() {
+		return r.compactUpdate()
 	}
-	return r.update()
+	return r.fullUpdate()
 }
 
-func (r *record) asListed() bool {
+func (r *record) matchesList() bool {
 	vm := r.listed
 	return vm != nil && r.PeerAddress == vm.PeerAddress && r.CallerAddress == vm.CallerAddress &&
 		r.Region == vm.Region && r.DataCentre == vm.DataCentre && r.Rack == vm.Rack
 }
 
-// brief is the record without its addresses.
-func (r *record) brief() *pb.MemberUpdate {
+// compactUpdate returns the update without addresses.
+func (r *record) compactUpdate() *pb.MemberUpdate {
 	return &pb.MemberUpdate{Vm: r.VM, Incarnation: r.Incarnation, Refutation: r.refutation, State: r.State, Capacity: r.Capacity}
 }
 
-// update is the record with its addresses, unless it is suspected or dead.
-func (r *record) update() *pb.MemberUpdate {
-	u := r.brief()
+// fullUpdate returns the update with addresses, which suspected and dead members
+// omit.
+func (r *record) fullUpdate() *pb.MemberUpdate {
+	u := r.compactUpdate()
 	if r.State == pb.MemberState_SUSPECT || r.State == pb.MemberState_DEAD {
 		return u
 	}
@@ -98,14 +101,14 @@
 	return u
 }
 
-// serves tells whether gossip holds the member alive.
+// serves reports whether the member is alive or suspected according to gossip.
 func (r *record) serves() bool {
 	return r.State == pb.MemberState_ALIVE || r.State == pb.MemberState_SUSPECT
 }
 
-// shown is the record as the view shows it: a VM that the platform's list calls
-// leaving is leaving, whatever gossip says.
-func (r *record) shown() Member {
+// viewMember returns the member as shown in views. A VM that the platform lists as
+// leaving is leaving, whatever state gossip gives it.
+func (r *record) viewMember() Member {
 	m := r.Member
 	if r.listed != nil && r.listed.State == pb.VMState_VM_LEAVING && r.serves() {
 		m.State = pb.MemberState_LEAVING
@@ -113,8 +116,8 @@
 	return m
 }
 
-// outranks tells whether an update is newer than the record: by incarnation,
-// then by refutation, then by how grave the state is.
+// outranks reports whether an update is newer than the record: by incarnation, then
+// by refutation, then by severity of the state.
 func outranks(incarnation, refutation uint64, state pb.MemberState, r *record) bool {
 	if incarnation != r.Incarnation {
 		return incarnation > r.Incarnation
@@ -125,8 +128,8 @@
 	return state > r.State
 }
 
-// hash is the record's part of the digest. Suspicions and deaths are left out:
-// they end by themselves, at other moments on each node.
+// hash returns the record's contribution to the digest. Suspicions and deaths are
+// excluded because they expire at different times on each node.
 func (r *record) hash() uint32 {
 	if r.Incarnation == 0 || r.State == pb.MemberState_DEAD {
 		return 0
@@ -145,10 +148,10 @@
 	return int(xxhash.Sum64String(vm) % digestBuckets)
 }
 
-// table holds the records by name and the digest of them all.
+// table holds the records by name and their digest.
 type table struct {
 	records map[string]*record
-	// sorted is ascending by name.
+	// sorted is in ascending order of VM name.
 	sorted []*record
 	digest [digestBuckets]uint32
 }
@@ -176,7 +179,7 @@
 	t.digest[r.bucket] ^= r.hash()
 }
 
-// edit changes a record and keeps the digest right.
+// edit changes a record and updates the digest.
 func (t *table) edit(r *record, change func()) {
 	t.digest[r.bucket] ^= r.hash()
 	change()
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -6,7 +6,7 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// Member is one VM as this daemon sees it.
+// Member describes one VM as seen by this daemon.
 type Member struct {
 	VM            string
 	Incarnation   uint64
@@ -16,27 +16,27 @@
 	Rack          string
 	CallerAddress string
 	PeerAddress   string
-	// Unlisted members are gone from the platform's list, or never came on it:
-	// they are not counted.
+	// Unlisted marks a member that was removed from the platform's list or never
+	// appeared on it. Such members get no work.
 	Unlisted bool
-	// Capacity is the work that the VM can carry for callers, in thousandths of
-	// a core; 0 while it takes no callers.
+	// Capacity is the work that the VM can do for callers, in thousandths of a core.
+	// It is 0 while the VM accepts no callers.
 	Capacity uint32
 }
 
-// Serves tells whether the member may be given new work.
+// Serves reports whether the member may receive new work.
 func (m *Member) Serves() bool {
 	return !m.Unlisted && (m.State == pb.MemberState_ALIVE || m.State == pb.MemberState_SUSPECT)
 }
 
-// View is the members at one moment, by VM name. It is immutable.
+// View is an immutable snapshot of the members, sorted by VM name.
 type View struct {
 	Members []Member
 	// Version increases with every change.
 	Version uint64
 }
 
-// Serving is the members that may be given new work.
+// Serving returns the members that may receive new work.
 func (v *View) Serving() []Member {
 	out := make([]Member, 0, len(v.Members))
 	for i := range v.Members {
@@ -47,7 +47,7 @@
 	return out
 }
 
-// Find looks a member up by VM name.
+// Find returns the member with the given VM name.
 func (v *View) Find(vm string) (Member, bool) {
 	i := sort.Search(len(v.Members), func(i int) bool { return v.Members[i].VM >= vm })
 	if i < len(v.Members) && v.Members[i].VM == vm {
@@ -56,13 +56,13 @@
 	return Member{}, false
 }
 
-// FromList is the view that the platform's list alone gives.
+// FromList returns the view given by the platform's list alone, without gossip.
 func FromList(vms []*pb.VM, version uint64) *View {
 	v := &View{Version: version}
 	for _, vm := range vms {
 		v.Members = append(v.Members, Member{
 			VM:            vm.Id,
-			State:         listState(vm.State),
+			State:         memberState(vm.State),
 			Region:        vm.Region,
 			DataCentre:    vm.DataCentre,
 			Rack:          vm.Rack,
@@ -74,7 +74,7 @@
 	return v
 }
 
-func listState(s pb.VMState) pb.MemberState {
+func memberState(s pb.VMState) pb.MemberState {
 	if s == pb.VMState_VM_LEAVING {
 		return pb.MemberState_LEAVING
 	}
--- a/internal/ownership/measure_test.go
+++ b/internal/ownership/measure_test.go
@@ -12,22 +12,22 @@
 
 // The target's size.
 const (
-	targetVMs       = 550
-	targetUpstreams = 2500
-	targetSites     = 5
-	targetRacks     = 10
-	queryUpstreams  = 380
+	targetVMs         = 550
+	targetUpstreams   = 2500
+	targetDataCentres = 5
+	targetRacks       = 10
+	queryUpstreams    = 380
 )
 
 func fleet(vms int) []membership.Member {
 	var out []membership.Member
 	for i := range vms {
-		site := i % targetSites
+		site := i % targetDataCentres
 		out = append(out, membership.Member{
 			VM:         fmt.Sprintf("vm-%04d", i),
 			State:      pb.MemberState_ALIVE,
 			DataCentre: fmt.Sprintf("dc-%d", site),
-			Rack:       fmt.Sprintf("dc-%d-r%d", site, i/targetSites%targetRacks),
+			Rack:       fmt.Sprintf("dc-%d-r%d", site, i/targetDataCentres%targetRacks),
 		})
 	}
 	return out
@@ -49,7 +49,7 @@
 		out = append(out, &contract.Upstream{
 			ID:         fmt.Sprintf("%s/u-%04d", service, i),
 			Service:    service,
-			DataCentre: fmt.Sprintf("dc-%d", i%targetSites),
+			DataCentre: fmt.Sprintf("dc-%d", i%targetDataCentres),
 		})
 	}
 	return out
@@ -65,8 +65,8 @@
 	return out
 }
 
-// spread is the highest and the mean load, and how many VMs own nothing.
-func spread(t *Table, members []membership.Member) (highest int, mean float64, idle int) {
+// loadSpread is the highest and the mean load, and how many VMs own nothing.
+func loadSpread(t *Table, members []membership.Member) (highest int, mean float64, idle int) {
 	load := map[string]int{}
 	for _, p := range t.places {
 		load[p.Owner]++
@@ -80,9 +80,9 @@
 	return highest, float64(len(t.places)) / float64(len(members)), idle
 }
 
-// touched is the mean number of owners of a query: 380 upstreams of one service,
+// meanOwnersPerQuery is the mean number of owners of a query: 380 upstreams of one service,
 // drawn as replicas would be.
-func touched(t *Table, list []*contract.Upstream) float64 {
+func meanOwnersPerQuery(t *Table, list []*contract.Upstream) float64 {
 	random := rand.New(rand.NewPCG(1, 2))
 	bigger := map[string][]*contract.Upstream{}
 	for _, u := range list {
@@ -105,9 +105,9 @@
 	return float64(sum) / float64(queries)
 }
 
-// moved counts upstreams whose owner differs and, of those whose owner is gone,
+// countMoves counts upstreams whose owner differs and, of those whose owner is gone,
 // how many went to the standby.
-func moved(before, after *Table, gone map[string]bool) (moves, orphans, toStandby int) {
+func countMoves(before, after *Table, gone map[string]bool) (moves, orphans, toStandby int) {
 	for id, p := range before.places {
 		if after.places[id].Owner != p.Owner {
 			moves++
@@ -132,9 +132,9 @@
 		t.Logf("%-12s %8s %5s %8s %7s %7s %8s %8s %8s %8s", "group/factor", "max/mean", "idle", "touched", "lost", "moved", "standby%", "5 lost", "rack-max", "dc-max")
 		for _, group := range []int{1, 2, 4, 5, 6, 7, 8} {
 			for _, factor := range []float64{1.25, 1.5, 1000} {
-				p := policy{group: group, loadFactor: factor, localFactor: 3}
+				p := policy{groupSize: group, loadFactor: factor, localLoadFactor: 3}
 				if factor == 1000 {
-					p.localFactor = factor
+					p.localLoadFactor = factor
 				}
 				t.Log(measure(p, fleet(size.vms), upstreams(size.upstreams)))
 			}
@@ -145,8 +145,8 @@
 // measure is one line of the table.
 func measure(p policy, members []membership.Member, list []*contract.Upstream) string {
 	base := assign(p, members, list)
-	high, mean, idle := spread(base, members)
-	lost, many := loss{}, loss{}
+	high, mean, idle := loadSpread(base, members)
+	lost, many := lossTotals{}, lossTotals{}
 	const losses = 40
 	for i := range losses {
 		lost.add(p, base, members, list, 1, i)
@@ -155,28 +155,28 @@
 	rackMax := maxWithout(p, members, list, func(m *membership.Member) bool { return m.Rack == "dc-0-r0" })
 	siteMax := maxWithout(p, members, list, func(m *membership.Member) bool { return m.DataCentre == "dc-0" })
 	return fmt.Sprintf("%d/%-10g %8.2f %5d %8.0f %7.1f %7.1f %8.0f %8.1f %8.2f %8.2f",
-		p.group, p.loadFactor, float64(high)/mean, idle, touched(base, list),
+		p.groupSize, p.loadFactor, float64(high)/mean, idle, meanOwnersPerQuery(base, list),
 		float64(lost.orphans)/losses, float64(lost.moves)/losses, 100*float64(lost.standby)/float64(max(1, lost.orphans)),
 		float64(many.moves)/losses, rackMax, siteMax)
 }
 
-// loss sums what several losses moved. A VM that joins moves the same, the other
+// lossTotals sums what several losses moved. A VM that joins moves the same, the other
 // way; so much, too, do two views differ by that VM.
-type loss struct{ orphans, moves, standby int }
+type lossTotals struct{ orphans, moves, standby int }
 
-func (l *loss) add(p policy, base *Table, members []membership.Member, list []*contract.Upstream, count, seed int) {
+func (l *lossTotals) add(p policy, base *Table, members []membership.Member, list []*contract.Upstream, count, seed int) {
 	random := rand.New(rand.NewPCG(uint64(seed), 3))
 	gone := map[string]bool{}
 	for len(gone) < count {
 		gone[members[random.IntN(len(members))].VM] = true
 	}
 	after := assign(p, without(members, func(m *membership.Member) bool { return gone[m.VM] }), list)
-	moves, orphans, standby := moved(base, after, gone)
+	moves, orphans, standby := countMoves(base, after, gone)
 	l.moves, l.orphans, l.standby = l.moves+moves, l.orphans+orphans, l.standby+standby
 }
 
 func maxWithout(p policy, members []membership.Member, list []*contract.Upstream, gone func(*membership.Member) bool) float64 {
 	left := without(members, gone)
-	high, mean, _ := spread(assign(p, left, list), left)
+	high, mean, _ := loadSpread(assign(p, left, list), left)
 	return float64(high) / mean
 }
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -16,18 +16,18 @@
 
 // policy is how closely upstreams are packed.
 type policy struct {
-	// group is how many upstreams of one service and data centre go together.
-	group int
+	// groupSize is how many upstreams of one service and data centre go together.
+	groupSize int
 	// loadFactor bounds a VM's load at this multiple of its data centre's mean.
 	loadFactor float64
-	// localFactor bounds the load that locality alone may bring to a VM, at
+	// localLoadFactor bounds the load that locality alone may bring to a VM, at
 	// this multiple of the fleet's mean: the last VMs of a data centre must not
 	// drown in all of its upstreams.
-	localFactor float64
+	localLoadFactor float64
 }
 
 // defaultPolicy was chosen by measurement; see the design note.
-var defaultPolicy = policy{group: 6, loadFactor: 1.5, localFactor: 3}
+var defaultPolicy = policy{groupSize: 6, loadFactor: 1.5, localLoadFactor: 3}
 
 // Table tells the owner and the standby of every upstream. It is immutable.
 type Table struct {
@@ -70,10 +70,10 @@
 	}
 	a := newAssignment(p, members, upstreams)
 	a.placeLocal()
-	a.placeRest()
+	a.placeRemaining()
 	for i := range a.items {
 		it := &a.items[i]
-		t.places[it.upstream.ID] = Place{Owner: a.name(it.owner), Standby: a.name(it.standby)}
+		t.places[it.upstream.ID] = Place{Owner: a.vmName(it.owner), Standby: a.vmName(it.standby)}
 	}
 	return t
 }
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -58,8 +58,8 @@
 				t.Fatalf("%s has the standby %q beside the owner %q", u.ID, p.Standby, p.Owner)
 			}
 		}
-		high, _, _ := spread(table, members)
-		most := newAssignment(defaultPolicy, members, list).bounded(defaultPolicy.localFactor, len(list), len(members))
+		high, _, _ := loadSpread(table, members)
+		most := newAssignment(defaultPolicy, members, list).loadLimit(defaultPolicy.localLoadFactor, len(list), len(members))
 		if high > most {
 			t.Fatalf("a VM owns %d upstreams, more than %d", high, most)
 		}
@@ -107,8 +107,8 @@
 func TestLastVMOfADataCentre(t *testing.T) {
 	members, list := fleet(100), upstreams(500)
 	left := without(members, func(m *membership.Member) bool { return m.DataCentre == "dc-0" && m.VM != "vm-0000" })
-	high, mean, _ := spread(Assign(left, list), left)
-	if float64(high) > defaultPolicy.localFactor*mean+1 {
+	high, mean, _ := loadSpread(Assign(left, list), left)
+	if float64(high) > defaultPolicy.localLoadFactor*mean+1 {
 		t.Errorf("a VM owns %d upstreams, the mean is %.1f", high, mean)
 	}
 }
@@ -116,7 +116,7 @@
 func TestFewMoveWhenOneVMIsLost(t *testing.T) {
 	members, list := fleet(targetVMs), upstreams(targetUpstreams)
 	base := Assign(members, list)
-	var l loss
+	var l lossTotals
 	const losses = 20
 	for i := range losses {
 		l.add(defaultPolicy, base, members, list, 1, i)
@@ -127,7 +127,7 @@
 	if l.standby*10 < l.orphans*8 {
 		t.Errorf("%d of %d went to their standby", l.standby, l.orphans)
 	}
-	if owners := touched(base, list); owners > 150 {
+	if owners := meanOwnersPerQuery(base, list); owners > 150 {
 		t.Errorf("a query of %d upstreams meets %.0f owners", queryUpstreams, owners)
 	}
 }
@@ -135,7 +135,7 @@
 func TestFewMoveWhenOneUpstreamIsAdded(t *testing.T) {
 	members, list := fleet(targetVMs), upstreams(targetUpstreams)
 	added := &contract.Upstream{ID: "a/new", Service: "a", DataCentre: "dc-1"}
-	moves, _, _ := moved(Assign(members, list), Assign(members, append(list, added)), nil)
+	moves, _, _ := countMoves(Assign(members, list), Assign(members, append(list, added)), nil)
 	t.Logf("%d upstreams moved", moves)
 	if moves > 50 {
 		t.Errorf("%d upstreams moved", moves)
