--- a/internal/locality/locality.go
+++ b/internal/locality/locality.go
@@ -1,39 +1,39 @@
-// Package locality tells how far things are from this VM: in its data centre, in its
-// region, or in another region. It is pure.
+// Package locality classifies the distance of other VMs and upstreams from this VM: same
+// data centre, same region or another region. All its functions are pure.
 package locality
 
-// Distance is how far something is from this VM.
+// Distance is the distance of something from this VM. Smaller values are closer.
 type Distance int
 
-// Distances.
+// Distances in ascending order.
 const (
 	// Near is this VM's data centre.
 	Near Distance = iota
-	// Regional is another data centre of its region.
+	// Regional is another data centre of this VM's region.
 	Regional
 	// Far is another region.
 	Far
-	// Distances is how many known distances there are.
+	// Distances is the number of known distances.
 	Distances
 )
 
-// Unknown stands for the distance of what has told no place.
+// Unknown is the distance of something whose location is not known.
 const Unknown = Distances
 
-// String is the distance's name in logs and metrics.
+// String returns the name of the distance in logs and metrics.
 func (d Distance) String() string {
 	return [...]string{"data_centre", "region", "far", "unknown"}[d]
 }
 
-// Place is where this VM is.
+// Place is the location of this VM.
 type Place struct {
 	DataCentre string
 	Region     string
-	// Regions maps data centres to regions.
+	// Regions maps data centres to their regions.
 	Regions map[string]string
 }
 
-// Distance is how far a data centre is; one that is not known is taken for Far.
+// Distance returns the distance of a data centre. One that is not in Regions counts as Far.
 func (p Place) Distance(dataCentre string) Distance {
 	if dataCentre == p.DataCentre {
 		return Near
@@ -41,10 +41,10 @@
 	return p.Within(p.Regions[dataCentre], dataCentre)
 }
 
-// Within is how far a data centre of a region is; one that is not known is taken for Far.
+// Within returns the distance of a data centre in a region. An unknown location counts as Far.
 func (p Place) Within(region, dataCentre string) Distance { return min(p.To(region, dataCentre), Far) }
 
-// To is how far a data centre of a region is; Unknown where both are empty.
+// To returns the distance of a data centre in a region, or Unknown if both names are empty.
 func (p Place) To(region, dataCentre string) Distance {
 	switch {
 	case region == "" && dataCentre == "":
--- a/internal/locality/locality_test.go
+++ b/internal/locality/locality_test.go
@@ -10,7 +10,7 @@
 		}
 	}
 	if got := p.To("", ""); got != Unknown {
-		t.Errorf("what tells no place is %v", got)
+		t.Errorf("an unknown location is %v", got)
 	}
 	if got := p.To("s", "c"); got != Far {
 		t.Errorf("a VM of another region is %v", got)
--- a/internal/ownership/assignment.go
+++ b/internal/ownership/assignment.go
@@ -11,17 +11,17 @@
 	"sycamorekeel.example/sycamorekeel/internal/rendezvous"
 )
 
-// noVM marks an upstream that has no owner yet.
+// noVM is the VM index of an upstream without an owner or standby.
 const noVM = -1
 
-// assignment is one computation of a Table.
+// assignment is the working state for computing a Table.
 type assignment struct {
 	policy policy
 	vms    []vm
 	items  []item
-	// dataCentres is by data centre, in the order of names.
+	// dataCentres is sorted by name.
 	dataCentres []*dataCentre
-	// allVMs is the indexes of all VMs.
+	// allVMs holds the indexes of all VMs.
 	allVMs []int
 	// maxLoad is the load up to which a VM takes upstreams of other data centres.
 	maxLoad int
@@ -34,7 +34,7 @@
 	load int
 }
 
-// item is one upstream.
+// item is an upstream and its placement. owner and standby are VM indexes or noVM.
 type item struct {
 	upstream   *contract.Upstream
 	hash       uint64
@@ -43,7 +43,8 @@
 	standby    int
 }
 
-// dataCentre is one data centre.
+// dataCentre holds the indexes of a data centre's VMs and upstreams. maxLoad limits the
+// load that its own upstreams put on each of its VMs.
 type dataCentre struct {
 	name    string
 	vms     []int
@@ -52,7 +53,7 @@
 	maxLoad int
 }
 
-// groupUpstreams is the upstreams that go together.
+// group is a set of upstreams that are placed together.
 type group struct {
 	hash  uint64
 	items []int
@@ -62,61 +63,61 @@
 	a := &assignment{policy: p, vms: make([]vm, len(members)), items: make([]item, len(upstreams))}
 	byName := map[string]*dataCentre{}
 	at := func(name string) *dataCentre {
-		s := byName[name]
-		if s == nil {
-			s = &dataCentre{name: name}
-			byName[name] = s
-			a.dataCentres = append(a.dataCentres, s)
+		dc := byName[name]
+		if dc == nil {
+			dc = &dataCentre{name: name}
+			byName[name] = dc
+			a.dataCentres = append(a.dataCentres, dc)
 		}
-		return s
+		return dc
 	}
 	for i := range members {
 		m := &members[i]
 		a.vms[i] = vm{name: m.VM, rack: m.Rack, hash: xxhash.Sum64String(m.VM)}
 		a.allVMs = append(a.allVMs, i)
-		s := at(m.DataCentre)
-		s.vms = append(s.vms, i)
+		dc := at(m.DataCentre)
+		dc.vms = append(dc.vms, i)
 	}
 	for i, u := range upstreams {
-		s := at(u.DataCentre)
-		a.items[i] = item{upstream: u, hash: xxhash.Sum64String(u.ID), dataCentre: s, owner: noVM, standby: noVM}
-		s.items = append(s.items, i)
+		dc := at(u.DataCentre)
+		a.items[i] = item{upstream: u, hash: xxhash.Sum64String(u.ID), dataCentre: dc, owner: noVM, standby: noVM}
+		dc.items = append(dc.items, i)
 	}
 	sort.Slice(a.dataCentres, func(i, j int) bool { return a.dataCentres[i].name < a.dataCentres[j].name })
 	a.setBounds()
-	for _, s := range a.dataCentres {
-		s.groups = a.groupUpstreams(s)
+	for _, dc := range a.dataCentres {
+		dc.groups = a.groupUpstreams(dc)
 	}
 	return a
 }
 
 func (a *assignment) setBounds() {
 	a.maxLoad = a.loadLimit(a.policy.loadFactor, len(a.items), len(a.vms))
-	most := a.loadLimit(a.policy.localLoadFactor, len(a.items), len(a.vms))
-	for _, s := range a.dataCentres {
-		if len(s.vms) > 0 {
-			s.maxLoad = min(most, a.loadLimit(a.policy.loadFactor, len(s.items), len(s.vms)))
+	limit := a.loadLimit(a.policy.localLoadFactor, len(a.items), len(a.vms))
+	for _, dc := range a.dataCentres {
+		if len(dc.vms) > 0 {
+			dc.maxLoad = min(limit, a.loadLimit(a.policy.loadFactor, len(dc.items), len(dc.vms)))
 		}
 	}
 }
 
-// loadLimit is a multiple of the mean load, and room for one group at least.
+// loadLimit returns a multiple of the mean load, but at least the size of one group.
 func (a *assignment) loadLimit(factor float64, items, vms int) int {
 	return max(a.policy.groupSize, int(math.Ceil(factor*float64(items)/float64(vms))))
 }
 
-// groupUpstreams divides a data centre's upstreams, by rendezvous of each service's
-// upstreams over as many groups as they fill, so that an upstream more or less
-// moves few others. Groups are in the order of their hashes.
-func (a *assignment) groupUpstreams(s *dataCentre) []group {
+// groupUpstreams divides a data centre's upstreams into groups, sorted by hash. The
+// upstreams of each service go by rendezvous hashing to as many groups as they fill, so
+// that adding or removing an upstream moves few others.
+func (a *assignment) groupUpstreams(dc *dataCentre) []group {
 	services := map[string][]int{}
-	for _, i := range s.items {
+	for _, i := range dc.items {
 		name := a.items[i].upstream.Service
 		services[name] = append(services[name], i)
 	}
 	var out []group
 	for name, items := range services {
-		out = append(out, a.fillGroups(s.name+"/"+name, items)...)
+		out = append(out, a.fillGroups(dc.name+"/"+name, items)...)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].hash < out[j].hash })
 	return out
@@ -142,8 +143,8 @@
 	return groups
 }
 
-// sortByHash fixes an order that does not follow names, so that a bound pushes
-// away arbitrary upstreams and not always the last of a service.
+// sortByHash sorts independently of names, so that a load limit displaces arbitrary
+// upstreams and not always the last ones of a service.
 func (a *assignment) sortByHash(items []int) {
 	sort.Slice(items, func(i, j int) bool {
 		x, y := &a.items[items[i]], &a.items[items[j]]
@@ -154,27 +155,27 @@
 	})
 }
 
-// placeLocal gives each data centre's upstreams to its own VMs.
+// placeLocal places each data centre's upstreams on its own VMs.
 func (a *assignment) placeLocal() {
-	for _, s := range a.dataCentres {
-		split := a.placeGroups(s.groups, s.vms, s.maxLoad)
-		a.placeSingly(split, s.vms, s.maxLoad)
+	for _, dc := range a.dataCentres {
+		unplaced := a.placeGroups(dc.groups, dc.vms, dc.maxLoad)
+		a.placeSingly(unplaced, dc.vms, dc.maxLoad)
 	}
 }
 
-// placeRemaining gives what found no room to any VM. There is always one below the
-// maxLoad: it lies above the mean.
+// placeRemaining places the upstreams that are left on any VM. Some VM is always below
+// maxLoad, because maxLoad exceeds the mean load.
 func (a *assignment) placeRemaining() {
-	var rest []group
-	for _, s := range a.dataCentres {
-		for _, g := range s.groups {
+	var remaining []group
+	for _, dc := range a.dataCentres {
+		for _, g := range dc.groups {
 			if left := a.unplaced(g.items); len(left) > 0 {
-				rest = append(rest, group{hash: g.hash, items: left})
+				remaining = append(remaining, group{hash: g.hash, items: left})
 			}
 		}
 	}
-	split := a.placeGroups(rest, a.allVMs, a.maxLoad)
-	a.placeSingly(split, a.allVMs, a.maxLoad)
+	unplaced := a.placeGroups(remaining, a.allVMs, a.maxLoad)
+	a.placeSingly(unplaced, a.allVMs, a.maxLoad)
 }
 
 func (a *assignment) unplaced(items []int) []int {
@@ -187,31 +188,31 @@
 	return out
 }
 
-// placeGroups places groups whole and returns the items of those that found no
-// VM with room.
-func (a *assignment) placeGroups(groups []group, vms []int, bound int) []int {
-	var split []int
+// placeGroups places whole groups and returns the items of the groups for which no VM
+// has enough room.
+func (a *assignment) placeGroups(groups []group, vms []int, limit int) []int {
+	var unplaced []int
 	for _, g := range groups {
-		most := bound - len(g.items)
-		v := a.bestVM(g.hash, vms, most)
+		maxLoad := limit - len(g.items)
+		v := a.bestVM(g.hash, vms, maxLoad)
 		if v == noVM {
-			split = append(split, g.items...)
+			unplaced = append(unplaced, g.items...)
 			continue
 		}
-		w := a.bestStandby(g.hash, vms, most, v)
+		w := a.bestStandby(g.hash, vms, maxLoad, v)
 		for _, i := range g.items {
 			a.setOwner(i, v, w)
 		}
 	}
-	return split
+	return unplaced
 }
 
-func (a *assignment) placeSingly(items, vms []int, bound int) {
+func (a *assignment) placeSingly(items, vms []int, limit int) {
 	a.sortByHash(items)
 	for _, i := range items {
 		key := a.items[i].hash
-		if v := a.bestVM(key, vms, bound-1); v != noVM {
-			a.setOwner(i, v, a.bestStandby(key, vms, bound-1, v))
+		if v := a.bestVM(key, vms, limit-1); v != noVM {
+			a.setOwner(i, v, a.bestStandby(key, vms, limit-1, v))
 		}
 	}
 }
@@ -222,11 +223,12 @@
 	a.vms[owner].load++
 }
 
-// bestVM is the VM of the highest weight among those whose load is at most most.
-func (a *assignment) bestVM(key uint64, vms []int, most int) int {
+// bestVM returns the VM with the highest rendezvous weight among those whose load is at
+// most limit, or noVM.
+func (a *assignment) bestVM(key uint64, vms []int, limit int) int {
 	best, bestWeight := noVM, uint64(0)
 	for _, v := range vms {
-		if a.vms[v].load > most {
+		if a.vms[v].load > limit {
 			continue
 		}
 		if w := rendezvous.Weight(key, a.vms[v].hash); best == noVM || w > bestWeight {
@@ -236,10 +238,10 @@
 	return best
 }
 
-// bestStandby is the VM that would be the owner if the owner were gone: the second
-// choice at the same moment, when the same others have been placed. One in
-// another rack comes first, as a rack that fails must not take both.
-func (a *assignment) bestStandby(key uint64, vms []int, most, owner int) int {
+// bestStandby returns the VM that would become the owner if the owner failed: the second
+// choice given the same earlier placements. VMs in another rack are preferred, so that
+// the failure of a rack does not take both.
+func (a *assignment) bestStandby(key uint64, vms []int, limit, owner int) int {
 	if len(vms) < 2 {
 		vms = a.allVMs
 	}
@@ -248,7 +250,7 @@
 		if v == owner {
 			continue
 		}
-		rank := a.standbyRank(v, owner, most)
+		rank := a.standbyRank(v, owner, limit)
 		w := rendezvous.Weight(key, a.vms[v].hash)
 		if best == noVM || rank > bestRank || (rank == bestRank && w > bestWeight) {
 			best, bestRank, bestWeight = v, rank, w
@@ -257,19 +259,19 @@
 	return best
 }
 
-// standbyRank prefers another rack to room: too much load only slows.
-func (a *assignment) standbyRank(v, owner, most int) int {
+// standbyRank prefers another rack over free capacity, because overload only slows queries.
+func (a *assignment) standbyRank(v, owner, limit int) int {
 	rank := 0
 	if a.vms[v].rack == "" || a.vms[v].rack != a.vms[owner].rack {
 		rank += 2
 	}
-	if a.vms[v].load <= most {
+	if a.vms[v].load <= limit {
 		rank++
 	}
 	return rank
 }
 
-// vmName is a VM's name, empty for nobody.
+// vmName returns a VM's name, or an empty string for noVM.
 func (a *assignment) vmName(v int) string {
 	if v == noVM {
 		return ""
--- a/internal/ownership/measure_test.go
+++ b/internal/ownership/measure_test.go
@@ -10,7 +10,7 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// The target's size.
+// Size of the target deployment.
 const (
 	targetVMs         = 550
 	targetUpstreams   = 2500
@@ -22,18 +22,19 @@
 func fleet(vms int) []membership.Member {
 	var out []membership.Member
 	for i := range vms {
-		site := i % targetDataCentres
+		dc := i % targetDataCentres
 		out = append(out, membership.Member{
 			VM:         fmt.Sprintf("vm-%04d", i),
 			State:      pb.MemberState_ALIVE,
-			DataCentre: fmt.Sprintf("dc-%d", site),
-			Rack:       fmt.Sprintf("dc-%d-r%d", site, i/targetDataCentres%targetRacks),
+			DataCentre: fmt.Sprintf("dc-%d", dc),
+			Rack:       fmt.Sprintf("dc-%d-r%d", dc, i/targetDataCentres%targetRacks),
 		})
 	}
 	return out
 }
 
-// services are of differing sizes: 1140, 760, 380 and the rest.
+// upstreams returns the upstreams of four services of different sizes: 46%, 30%, 16% and
+// 8%, at the target size about 1140, 760, 380 and the rest.
 func upstreams(count int) []*contract.Upstream {
 	var out []*contract.Upstream
 	for i := range count {
@@ -65,7 +66,7 @@
 	return out
 }
 
-// loadSpread is the highest and the mean load, and how many VMs own nothing.
+// loadSpread returns the highest load, the mean load and the number of VMs that own nothing.
 func loadSpread(t *Table, members []membership.Member) (highest int, mean float64, idle int) {
 	load := map[string]int{}
 	for _, p := range t.places {
@@ -80,8 +81,8 @@
 	return highest, float64(len(t.places)) / float64(len(members)), idle
 }
 
-// meanOwnersPerQuery is the mean number of owners of a query: 380 upstreams of one service,
-// drawn as replicas would be.
+// meanOwnersPerQuery returns the mean number of owners involved in a query of 380 upstreams
+// of one service, chosen at random as replicas would be.
 func meanOwnersPerQuery(t *Table, list []*contract.Upstream) float64 {
 	random := rand.New(rand.NewPCG(1, 2))
 	bigger := map[string][]*contract.Upstream{}
@@ -105,8 +106,8 @@
 	return float64(sum) / float64(queries)
 }
 
-// countMoves counts upstreams whose owner differs and, of those whose owner is gone,
-// how many went to the standby.
+// countMoves counts the upstreams whose owner changes. Of those whose owner is gone
+// (orphans), it counts how many move to their standby.
 func countMoves(before, after *Table, gone map[string]bool) (moves, orphans, toStandby int) {
 	for id, p := range before.places {
 		if after.places[id].Owner != p.Owner {
@@ -122,7 +123,7 @@
 	return moves, orphans, toStandby
 }
 
-// TestMeasure prints the table of the design note; run it with -v.
+// TestMeasure prints the table of the design note. Run it with -v.
 func TestMeasure(t *testing.T) {
 	if !testing.Verbose() {
 		t.Skip("prints a table; run with -v")
@@ -142,7 +143,7 @@
 	}
 }
 
-// measure is one line of the table.
+// measure returns one line of the table.
 func measure(p policy, members []membership.Member, list []*contract.Upstream) string {
 	base := assign(p, members, list)
 	high, mean, idle := loadSpread(base, members)
@@ -153,15 +154,15 @@
 		many.add(p, base, members, list, 5, i)
 	}
 	rackMax := maxWithout(p, members, list, func(m *membership.Member) bool { return m.Rack == "dc-0-r0" })
-	siteMax := maxWithout(p, members, list, func(m *membership.Member) bool { return m.DataCentre == "dc-0" })
+	dcMax := maxWithout(p, members, list, func(m *membership.Member) bool { return m.DataCentre == "dc-0" })
 	return fmt.Sprintf("%d/%-10g %8.2f %5d %8.0f %7.1f %7.1f %8.0f %8.1f %8.2f %8.2f",
 		p.groupSize, p.loadFactor, float64(high)/mean, idle, meanOwnersPerQuery(base, list),
 		float64(lost.orphans)/losses, float64(lost.moves)/losses, 100*float64(lost.standby)/float64(max(1, lost.orphans)),
-		float64(many.moves)/losses, rackMax, siteMax)
+		float64(many.moves)/losses, rackMax, dcMax)
 }
 
-// lossTotals sums what several losses moved. A VM that joins moves the same, the other
-// way; so much, too, do two views differ by that VM.
+// lossTotals sums the moves after several losses. A VM that joins causes the same moves in
+// reverse, and two views that contain and omit a VM differ by the same moves.
 type lossTotals struct{ orphans, moves, standby int }
 
 func (l *lossTotals) add(p policy, base *Table, members []membership.Member, list []*contract.Upstream, count, seed int) {
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -1,10 +1,10 @@
-// Package ownership decides which VM owns each upstream and which one stands
-// by. It is a pure function of the members and the upstreams: VMs with the same
-// view agree without a message, and nothing is written anywhere.
+// Package ownership assigns each upstream an owner VM and a standby VM. The
+// assignment is a pure function of the members and the upstreams: VMs with the same
+// view agree without exchanging messages, and no assignment is stored.
 //
 // Upstreams of one service and data centre are placed in small groups, so that a
-// query meets few owners, by rendezvous hashing with bounded load. A group that
-// finds no VM with room for the whole of it is placed one by one.
+// query involves few owners. Groups are placed by rendezvous hashing with bounded
+// load. If no VM has room for a whole group, its upstreams are placed one by one.
 package ownership
 
 import (
@@ -14,39 +14,40 @@
 	"sycamorekeel.example/sycamorekeel/internal/membership"
 )
 
-// policy is how closely upstreams are packed.
+// policy holds the parameters of the placement.
 type policy struct {
-	// groupSize is how many upstreams of one service and data centre go together.
+	// groupSize is the maximum number of upstreams of one service and data centre that
+	// are placed together.
 	groupSize int
-	// loadFactor bounds a VM's load at this multiple of its data centre's mean.
+	// loadFactor limits a VM's load to this multiple of its data centre's mean.
 	loadFactor float64
-	// localLoadFactor bounds the load that locality alone may bring to a VM, at
-	// this multiple of the fleet's mean: the last VMs of a data centre must not
-	// drown in all of its upstreams.
+	// localLoadFactor limits the load that a VM gets from its own data centre to this
+	// multiple of the fleet's mean, so that the last VMs of a data centre are not
+	// overloaded with all of its upstreams.
 	localLoadFactor float64
 }
 
-// defaultPolicy was chosen by measurement; see the design note.
+// defaultPolicy follows from the figures in the design note, which TestMeasure prints.
 var defaultPolicy = policy{groupSize: 6, loadFactor: 1.5, localLoadFactor: 3}
 
-// Table tells the owner and the standby of every upstream. It is immutable.
+// Table maps each upstream to its owner and standby. It is immutable.
 type Table struct {
 	places map[string]Place
 }
 
-// Place is where one upstream is owned. Both are VM names, empty when no VM
-// serves; they differ, and the standby is empty when a single VM serves.
+// Place names the VMs responsible for one upstream. Owner is empty if no VM serves,
+// Standby if fewer than two serve. The two always differ otherwise.
 type Place struct {
 	Owner   string
 	Standby string
 }
 
-// Place finds an upstream by id.
+// Place returns the place of the upstream with the given ID, or the zero Place.
 func (t *Table) Place(upstream string) Place {
 	return t.places[upstream]
 }
 
-// Owned is every upstream that vm owns, ascending.
+// Owned returns the IDs of the upstreams that a VM owns, in ascending order.
 func (t *Table) Owned(vm string) []string {
 	var out []string
 	for id, p := range t.places {
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -14,7 +14,7 @@
 	"sycamorekeel.example/sycamorekeel/internal/membership"
 )
 
-// TestMain fixes the seed of the random tests; -rapid.seed still overrides it.
+// TestMain fixes the seed of the random tests. The flag -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	os.Exit(m.Run())
@@ -41,7 +41,7 @@
 	return members, list
 }
 
-func TestEveryUpstreamIsOwnedWithinTheBounds(t *testing.T) {
+func TestEveryUpstreamHasAnOwnerWithinLoadLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members, list := drawFleet(t)
 		table := Assign(members, list)
@@ -55,20 +55,19 @@
 				t.Fatalf("%s is owned by %q", u.ID, p.Owner)
 			}
 			if _, ok := racks[p.Standby]; len(members) > 1 && (!ok || p.Standby == p.Owner) {
-				t.Fatalf("%s has the standby %q beside the owner %q", u.ID, p.Standby, p.Owner)
+				t.Fatalf("%s has standby %q and owner %q", u.ID, p.Standby, p.Owner)
 			}
 		}
 		high, _, _ := loadSpread(table, members)
-		most := newAssignment(defaultPolicy, members, list).loadLimit(defaultPolicy.localLoadFactor, len(list), len(members))
-		if high > most {
-			t.Fatalf("a VM owns %d upstreams, more than %d", high, most)
+		limit := newAssignment(defaultPolicy, members, list).loadLimit(defaultPolicy.localLoadFactor, len(list), len(members))
+		if high > limit {
+			t.Fatalf("a VM owns %d upstreams, more than %d", high, limit)
 		}
 	})
 }
 
-// Symptom: two VMs with the same view send one upstream's work to two owners.
-// Sequence: they learnt of members and upstreams in different orders.
-// Cause: an assignment that depends on the order it is given.
+// Guards against two VMs with the same view that send an upstream's work to different owners,
+// because the assignment depends on the order in which members and upstreams became known.
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members, list := drawFleet(t)
@@ -77,12 +76,12 @@
 		random.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 		random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 		if got := Assign(members, list); !reflect.DeepEqual(got, want) {
-			t.Fatal("another order gave another table")
+			t.Fatal("the table depends on the order of members and upstreams")
 		}
 	})
 }
 
-func TestLocality(t *testing.T) {
+func TestPlacesStayInDataCentre(t *testing.T) {
 	members, list := fleet(100), upstreams(500)
 	local := map[string]string{}
 	racks := map[string]string{}
@@ -101,9 +100,8 @@
 	}
 }
 
-// Symptom: one VM is crushed by the work of a whole data centre.
-// Sequence: all but one of the data centre's VMs are lost.
-// Cause: locality goes before the bound on load.
+// Guards against overload when all but one of a data centre's VMs are lost: the last one must
+// not receive all work of the data centre because locality overrides the load limit.
 func TestLastVMOfADataCentre(t *testing.T) {
 	members, list := fleet(100), upstreams(500)
 	left := without(members, func(m *membership.Member) bool { return m.DataCentre == "dc-0" && m.VM != "vm-0000" })
@@ -125,10 +123,10 @@
 		t.Errorf("%d upstreams moved for %d that lost their owner", l.moves, l.orphans)
 	}
 	if l.standby*10 < l.orphans*8 {
-		t.Errorf("%d of %d went to their standby", l.standby, l.orphans)
+		t.Errorf("%d of %d moved to their standby", l.standby, l.orphans)
 	}
 	if owners := meanOwnersPerQuery(base, list); owners > 150 {
-		t.Errorf("a query of %d upstreams meets %.0f owners", queryUpstreams, owners)
+		t.Errorf("a query of %d upstreams involves %.0f owners", queryUpstreams, owners)
 	}
 }
 
