--- a/internal/membership/capacity_test.go
+++ b/internal/membership/capacity_test.go
@@ -114,8 +114,8 @@
 
 // anyHolds reports whether any process that is up has VM i in a state.
 func (w *network) anyHolds(i int, state pb.MemberState) bool {
-	for h := range w.processes {
-		if !w.processes[h].down && w.state(h, i) == state {
+	for p := range w.processes {
+		if !w.processes[p].down && w.state(p, i) == state {
 			return true
 		}
 	}
@@ -134,10 +134,10 @@
 	const every, times = 78 * time.Second, 3
 	w := settled(1, count)
 	for i := range times {
-		h := w.processes[3+i]
-		w.do(h, func(n *membership.Node) membership.Actions { return n.Leave(w.now) })
+		p := w.processes[3+i]
+		w.do(p, func(n *membership.Node) membership.Actions { return n.Leave(w.now) })
 		w.run(5 * time.Second)
-		h.down = true
+		p.down = true
 		w.run(2 * time.Second)
 		w.add(3 + i)
 		w.run(every - 7*time.Second)
@@ -175,8 +175,8 @@
 }
 
 func (w *network) totals() (failed, refuted, deaths uint64) {
-	for _, h := range w.processes {
-		s := h.node.Stats()
+	for _, p := range w.processes {
+		s := p.node.Stats()
 		failed += s.FailedProbes
 		refuted += s.Refutations
 		deaths += s.Deaths
--- a/internal/membership/directory_test.go
+++ b/internal/membership/directory_test.go
@@ -45,7 +45,7 @@
 
 // start starts a process of VM i.
 func (d *directory) start(i int) {
-	h := d.addWith(membership.Options{
+	p := d.addWith(membership.Options{
 		Self: &pb.MemberUpdate{
 			Vm: vmName(i), Incarnation: uint64(d.now.UnixMicro()) + uint64(i), Capacity: 100,
 			Region: fmt.Sprint("region-", i%directoryCentres/2), DataCentre: fmt.Sprint("dc-", i%directoryCentres),
@@ -53,7 +53,7 @@
 		},
 		Seeds: []string{address(0), address(1), address(2)}, Sole: true, KeepNear: true, Seed: d.rand.Uint64(), Timing: directoryTiming,
 	})
-	d.inTouch[h.name] = d.now
+	d.inTouch[p.name] = d.now
 	delete(d.gone, callerAddress(i))
 }
 
@@ -61,9 +61,9 @@
 
 // kill ends all processes of VM i.
 func (d *directory) kill(i int) {
-	for _, h := range d.processes {
-		if h.name == vmName(i) {
-			h.down = true
+	for _, p := range d.processes {
+		if p.name == vmName(i) {
+			p.down = true
 		}
 	}
 	d.gone[callerAddress(i)] = d.now
@@ -74,24 +74,24 @@
 func (d *directory) watch(length time.Duration) string {
 	for end := d.now.Add(length); d.now.Before(end); {
 		d.run(tick)
-		for _, h := range d.processes {
-			if h.down || d.now.Sub(d.inTouch[h.name]) < contact {
+		for _, p := range d.processes {
+			if p.down || d.now.Sub(d.inTouch[p.name]) < contact {
 				continue
 			}
-			if wrong := d.wrongAnswer(h); wrong != "" {
-				return wrong
+			if stale := d.staleAnswer(p); stale != "" {
+				return stale
 			}
 		}
 	}
 	return ""
 }
 
-func (d *directory) wrongAnswer(h *process) string {
+func (d *directory) staleAnswer(p *process) string {
 	for region := range directoryCentres / 2 {
 		caller := placement.Caller{Region: fmt.Sprint("region-", region), DataCentre: fmt.Sprint("dc-", 2*region)}
-		for _, a := range placement.Choose(h.node.View().Members, caller, placement.Bounds{Most: 8, Least: 3, Work: 10_000}) {
+		for _, a := range placement.Choose(p.node.View().Members, caller, placement.Bounds{Most: 8, Least: 3, Work: 10_000}) {
 			if since, gone := d.gone[a]; gone && d.now.Sub(since) > goneAfter {
-				return fmt.Sprintf("%s names %s to callers in %s, gone for %v", h.name, a, caller.Region, d.now.Sub(since))
+				return fmt.Sprintf("%s names %s to callers in %s, gone for %v", p.name, a, caller.Region, d.now.Sub(since))
 			}
 		}
 	}
@@ -121,8 +121,8 @@
 			// These VMs are not in contact until the partition ends.
 			d.inTouch[name] = d.now.Add(4 * time.Second)
 		}
-		if wrong := d.watch(4 * time.Second); wrong != "" {
-			t.Errorf("seed %d, during the partition: %s", seed, wrong)
+		if stale := d.watch(4 * time.Second); stale != "" {
+			t.Errorf("seed %d, during the partition: %s", seed, stale)
 		}
 		d.cut = func(string, string) bool { return false }
 		for _, i := range []int{4, 5, 11, 21} {
@@ -131,10 +131,10 @@
 		for i := directoryVMs; i < directoryVMs+4; i++ {
 			d.start(i)
 		}
-		if wrong := d.watch(20 * time.Second); wrong != "" {
-			t.Errorf("seed %d, after the partition: %s", seed, wrong)
+		if stale := d.watch(20 * time.Second); stale != "" {
+			t.Errorf("seed %d, after the partition: %s", seed, stale)
 		}
-		if n := d.named(0); n < 3 {
+		if n := d.countNamed(0); n < 3 {
 			t.Errorf("seed %d: %d VMs named at the end", seed, n)
 		}
 	}
@@ -143,16 +143,16 @@
 // restart ends the process of VM i, if it is up, and starts a new one.
 func (d *directory) restart(i int) {
 	d.kill(i)
-	d.processes = slices.DeleteFunc(d.processes, func(h *process) bool { return h.name == vmName(i) })
+	d.processes = slices.DeleteFunc(d.processes, func(p *process) bool { return p.name == vmName(i) })
 	d.start(i)
 }
 
-// named returns how many VMs the first VM that is up names to callers of a region.
-func (d *directory) named(region int) int {
-	for _, h := range d.processes {
-		if !h.down {
+// countNamed returns how many VMs the first VM that is up names to callers of a region.
+func (d *directory) countNamed(region int) int {
+	for _, p := range d.processes {
+		if !p.down {
 			caller := placement.Caller{Region: fmt.Sprint("region-", region)}
-			return len(placement.Choose(h.node.View().Members, caller, placement.Bounds{Most: 8, Least: 3, Work: 10_000}))
+			return len(placement.Choose(p.node.View().Members, caller, placement.Bounds{Most: 8, Least: 3, Work: 10_000}))
 		}
 	}
 	return 0
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -30,11 +30,11 @@
 			w.fill(9)
 			w.run(20 * time.Second)
 			fault(w)
-			h := w.addBehind(3, 10*time.Minute, true)
-			w.do(h, func(n *membership.Node) membership.Actions { return n.SetList(w.now, listed(9)) })
+			p := w.addBehind(3, 10*time.Minute, true)
+			w.do(p, func(n *membership.Node) membership.Actions { return n.SetList(w.now, listed(9)) })
 			known := func() bool {
 				for _, other := range w.processes {
-					if !other.down && other.node.Rank(h.name).Incarnation != h.node.Rank(h.name).Incarnation {
+					if !other.down && other.node.Rank(p.name).Incarnation != p.node.Rank(p.name).Incarnation {
 						return false
 					}
 				}
@@ -44,7 +44,7 @@
 			Expect(ok).To(BeTrue())
 			w.run(30 * time.Second)
 			Expect(known()).To(BeTrue(), "the agreement must last")
-			Expect(h.events).NotTo(ContainElement("superseded"))
+			Expect(p.events).NotTo(ContainElement("superseded"))
 		},
 		Entry("replaced at once", func(w *network) { w.processes[3].down = true }),
 		Entry("replaced after it was declared dead", func(w *network) {
@@ -63,10 +63,10 @@
 		w.fill(9)
 		w.run(20 * time.Second)
 		w.processes[3].down = true
-		h := w.addBehind(3, 10*time.Minute, false)
-		w.do(h, func(n *membership.Node) membership.Actions { return n.SetList(w.now, listed(9)) })
+		p := w.addBehind(3, 10*time.Minute, false)
+		w.do(p, func(n *membership.Node) membership.Actions { return n.SetList(w.now, listed(9)) })
 		w.run(10 * time.Second)
-		Expect(h.events).To(ContainElement("superseded"))
+		Expect(p.events).To(ContainElement("superseded"))
 	})
 
 	// Guards against a new owner that starts an upstream while the old owner is alive,
@@ -153,8 +153,8 @@
 			w.cut = func(string, string) bool { return false }
 			w.run(30 * time.Second)
 			Expect(w.agree(upTo(9)...)).To(BeTrue())
-			for _, h := range w.processes[1:] {
-				Expect(h.node.Stats().Deaths).To(BeNumerically("<=", 1), "at most the death of the isolated node")
+			for _, p := range w.processes[1:] {
+				Expect(p.node.Stats().Deaths).To(BeNumerically("<=", 1), "at most the death of the isolated node")
 			}
 		},
 		Entry("receives nothing until it holds all dead", func(_, to string) bool { return to == vmName(0) }, 8),
@@ -169,8 +169,8 @@
 		w.run(20 * time.Second)
 		w.cut = func(_, to string) bool { return to == vmName(0) }
 		w.run(time.Minute)
-		for _, h := range w.processes[1:] {
-			Expect(h.node.Stats().Suspicions).To(BeEquivalentTo(1), "only of the isolated node")
+		for _, p := range w.processes[1:] {
+			Expect(p.node.Stats().Suspicions).To(BeEquivalentTo(1), "only of the isolated node")
 		}
 	})
 
@@ -183,8 +183,8 @@
 			w.run(20 * time.Second)
 			w.cut = cut
 			w.run(2 * time.Minute)
-			for _, h := range w.processes {
-				Expect(h.node.Stats().Suspicions).To(BeZero(), h.name)
+			for _, p := range w.processes {
+				Expect(p.node.Stats().Suspicions).To(BeZero(), p.name)
 			}
 		},
 		Entry("cut one way", func(from, to string) bool { return from == vmName(0) && to == vmName(1) }),
@@ -227,8 +227,8 @@
 			w.cut = func(string, string) bool { return false }
 		}, 10*time.Second, []string{"revalidate", "revalidated"}, false),
 		Entry("revalidates without any answer", func(w *network) {
-			for _, h := range w.processes[1:] {
-				h.down = true
+			for _, p := range w.processes[1:] {
+				p.down = true
 			}
 		}, 10*time.Second, []string{"revalidate", "revalidated"}, true),
 	)
--- a/internal/membership/near.go
+++ b/internal/membership/near.go
@@ -86,8 +86,8 @@
 		return nil
 	}
 	n.untilRemoteProbe = max(remoteProbeInterval, len(n.table.sorted)/membersPerRemotePeriod)
-	elsewhere := func(r *record) bool { return !n.isLocal(r) && r.State != pb.MemberState_DEAD }
-	for _, r := range n.pick(1, elsewhere) {
+	remote := func(r *record) bool { return !n.isLocal(r) && r.State != pb.MemberState_DEAD }
+	for _, r := range n.pick(1, remote) {
 		return r
 	}
 	return nil
@@ -96,14 +96,14 @@
 // disseminationTargets picks the receiver of the next dissemination datagram, mostly in
 // this data centre.
 func (n *Node) disseminationTargets() []*record {
-	near := n.preferLocal && n.rand.IntN(remoteDisseminationRatio) > 0
-	return n.pick(1, func(r *record) bool { return r.serves() && (!near || n.isLocal(r)) })
+	localOnly := n.preferLocal && n.rand.IntN(remoteDisseminationRatio) > 0
+	return n.pick(1, func(r *record) bool { return r.serves() && (!localOnly || n.isLocal(r)) })
 }
 
 // updatePreferLocal recomputes preferLocal and starts a new round of probes if it changes.
 func (n *Node) updatePreferLocal() {
-	if keeps := n.shouldPreferLocal(); keeps != n.preferLocal {
-		n.preferLocal = keeps
+	if prefer := n.shouldPreferLocal(); prefer != n.preferLocal {
+		n.preferLocal = prefer
 		n.ring = n.ring[:0]
 	}
 }
--- a/internal/membership/near_test.go
+++ b/internal/membership/near_test.go
@@ -23,23 +23,23 @@
 func regionOf(i int) string { return fmt.Sprintf("region-%d", i%dataCentres/2) }
 
 // addIn starts a process of VM i in its data centre, with a seed in each region.
-func (w *network) addIn(i int, near bool) *process {
+func (w *network) addIn(i int, preferLocal bool) *process {
 	return w.addWith(membership.Options{
 		Self: &pb.MemberUpdate{Vm: vmName(i), Incarnation: uint64(w.now.UnixMicro()) + uint64(i), Region: regionOf(i), DataCentre: centre(i),
 			CallerAddress: address(i), PeerAddress: address(i)},
 		Seeds:    []string{address(0), address(2), address(4)},
 		Seed:     w.rand.Uint64(),
-		KeepNear: near,
+		KeepNear: preferLocal,
 		Timing:   edgeTiming,
 	})
 }
 
 // startFleet starts count VMs in all data centres that know three seeds.
-func startFleet(seed uint64, count int, near bool) *network {
+func startFleet(seed uint64, count int, preferLocal bool) *network {
 	w := newNetwork(seed)
 	w.loss = 0.01
 	for i := range count {
-		w.addIn(i, near)
+		w.addIn(i, preferLocal)
 	}
 	w.run(30 * time.Second)
 	Expect(w.agree(upTo(count)...)).To(BeTrue())
@@ -54,8 +54,8 @@
 	return float64(w.remoteBytes-before) / measured.Seconds()
 }
 
-// in returns the VMs of a data centre.
-func in(dataCentre, count int) []int {
+// vmsIn returns the VMs of a data centre.
+func vmsIn(dataCentre, count int) []int {
 	var out []int
 	for i := dataCentre; i < count; i += dataCentres {
 		out = append(out, i)
@@ -70,17 +70,17 @@
 	// than its answers to callers, although nothing happens. That is so if every VM probes
 	// every other alike, wherever it is.
 	It("keeps most probes within the data centres", func() {
-		all := remoteBytesPerSecond(startFleet(1, count, false))
-		near := remoteBytesPerSecond(startFleet(1, count, true))
-		Expect(near).To(BeNumerically("<", all/3))
+		uniform := remoteBytesPerSecond(startFleet(1, count, false))
+		local := remoteBytesPerSecond(startFleet(1, count, true))
+		Expect(local).To(BeNumerically("<", uniform/3))
 	})
 
 	// Guards against callers being sent to VMs of a lost data centre. All its VMs are lost at
 	// once, and with them the members that mostly probe them.
-	DescribeTable("detects the loss of a data centre", func(near bool) {
+	DescribeTable("detects the loss of a data centre", func(preferLocal bool) {
 		for seed := range uint64(5) {
-			w := startFleet(seed, count, near)
-			lost := in(3, count)
+			w := startFleet(seed, count, preferLocal)
+			lost := vmsIn(3, count)
 			for _, i := range lost {
 				w.processes[i].down = true
 			}
@@ -100,8 +100,8 @@
 			w := startFleet(seed, count, true)
 			w.do(w.processes[7], func(n *membership.Node) membership.Actions { return n.SetCapacity(w.now, 77) })
 			took, ok := w.runUntil(10*time.Second, func() bool {
-				for _, h := range w.processes {
-					if m, _ := h.node.View().Find(vmName(7)); m.Capacity != 77 {
+				for _, p := range w.processes {
+					if m, _ := p.node.View().Find(vmName(7)); m.Capacity != 77 {
 						return false
 					}
 				}
--- a/internal/membership/network_test.go
+++ b/internal/membership/network_test.go
@@ -102,12 +102,12 @@
 }
 
 func (w *network) addWith(opts membership.Options) *process {
-	h := &process{name: opts.Self.Vm, opts: opts}
-	h.node = membership.New(w.now, h.opts)
-	w.processes = append(w.processes, h)
-	w.byVM[h.name] = h
-	w.byAddress[opts.Self.PeerAddress] = h
-	return h
+	p := &process{name: opts.Self.Vm, opts: opts}
+	p.node = membership.New(w.now, p.opts)
+	w.processes = append(w.processes, p)
+	w.byVM[p.name] = p
+	w.byAddress[opts.Self.PeerAddress] = p
+	return p
 }
 
 // fill starts count VMs that all have the platform's list.
@@ -117,20 +117,20 @@
 	}
 }
 
-func (w *network) do(h *process, step func(*membership.Node) membership.Actions) {
-	act := step(h.node)
+func (w *network) do(p *process, step func(*membership.Node) membership.Actions) {
+	act := step(p.node)
 	if act.Revalidate {
-		h.events = append(h.events, "revalidate")
+		p.events = append(p.events, "revalidate")
 	}
 	if act.Revalidated {
-		h.events = append(h.events, "revalidated")
-		h.alone = act.Alone
+		p.events = append(p.events, "revalidated")
+		p.alone = act.Alone
 	}
 	if act.Superseded != 0 {
-		h.events = append(h.events, "superseded")
+		p.events = append(p.events, "superseded")
 	}
 	for _, s := range act.Sends {
-		w.send(h, s)
+		w.send(p, s)
 	}
 }
 
@@ -168,12 +168,12 @@
 		next := w.now.Add(tick)
 		w.deliver(next)
 		w.now = next
-		for _, h := range w.processes {
-			if h.down || h.paused {
+		for _, p := range w.processes {
+			if p.down || p.paused {
 				continue
 			}
-			w.drain(h)
-			w.do(h, func(n *membership.Node) membership.Actions { return n.Tick(w.now) })
+			w.drain(p)
+			w.do(p, func(n *membership.Node) membership.Actions { return n.Tick(w.now) })
 		}
 	}
 }
@@ -192,12 +192,12 @@
 	}
 }
 
-func (w *network) drain(h *process) {
-	inbox := h.inbox
-	h.inbox = nil
+func (w *network) drain(p *process) {
+	inbox := p.inbox
+	p.inbox = nil
 	for _, d := range inbox {
 		copied := proto.CloneOf(d)
-		w.do(h, func(n *membership.Node) membership.Actions {
+		w.do(p, func(n *membership.Node) membership.Actions {
 			// The driver passes datagrams of replaced processes to Outdated.
 			if n.Rank(d.Sender.Vm).Incarnation > d.Sender.Incarnation {
 				return n.Outdated(w.now, copied.Sender)
@@ -216,11 +216,11 @@
 // agree reports whether every process that is up sees exactly the members of want as
 // serving.
 func (w *network) agree(want ...int) bool {
-	for _, h := range w.processes {
-		if h.down || h.paused {
+	for _, p := range w.processes {
+		if p.down || p.paused {
 			continue
 		}
-		serving := h.node.View().Serving()
+		serving := p.node.View().Serving()
 		if len(serving) != len(want) {
 			return false
 		}
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -245,10 +245,10 @@
 	return n.end()
 }
 
-// Announce sends this node's state immediately to two members of its own data
-// centre and two of each other data centre of its region. If wide is set, it also
-// sends to two members of each other region. Receivers forward it in the same way
-// without wide.
+// Announce sends this node's record, configuration revision and queued updates
+// immediately to two members of its own data centre and to two of each other data
+// centre of its region. If wide is set, it also sends them to two members of each
+// other region. Receivers forward an announcement without wide.
 func (n *Node) Announce(now time.Time, wide bool) Actions {
 	n.begin(now)
 	limits := announceNarrow
@@ -266,17 +266,17 @@
 	return n.end()
 }
 
-// Broadcast sends quarantine entries to at most the given number of random members
-// that are alive or suspected; All sends them to every one.
-func (n *Node) Broadcast(now time.Time, entries []*pb.QuarantineEntry, most int) Actions {
+// Broadcast sends quarantine entries to at most limit random members that are alive
+// or suspected. With All it sends them to every such member.
+func (n *Node) Broadcast(now time.Time, entries []*pb.QuarantineEntry, limit int) Actions {
 	n.begin(now)
-	for _, r := range n.pick(most, func(r *record) bool { return r.serves() }) {
+	for _, r := range n.pick(limit, func(r *record) bool { return r.serves() }) {
 		n.send(r.PeerAddress, &pb.Datagram{Quarantine: entries}, r)
 	}
 	return n.end()
 }
 
-// All is a member count without a limit.
+// All is the limit for Broadcast that includes every member.
 const All = math.MaxInt
 
 // announceGroup identifies a set of members of which an announcement goes to a
--- a/internal/membership/rapid_test.go
+++ b/internal/membership/rapid_test.go
@@ -52,8 +52,8 @@
 // crashed unseen by the others, they would rightly take it back.
 func (m *machine) Crash(t *rapid.T) {
 	name := vmName(m.draw(t))
-	for _, h := range m.w.processes {
-		h.down = h.down || h.name == name
+	for _, p := range m.w.processes {
+		p.down = p.down || p.name == name
 	}
 }
 
@@ -74,19 +74,19 @@
 func (m *machine) Pause(t *rapid.T) { m.current[m.draw(t)].paused = true }
 
 func (m *machine) Resume(*rapid.T) {
-	for _, h := range m.w.processes {
-		h.paused = false
+	for _, p := range m.w.processes {
+		p.paused = false
 	}
 }
 
 func (m *machine) Leave(t *rapid.T) {
 	i := m.draw(t)
-	h := m.current[i]
-	if h.down || h.paused {
+	p := m.current[i]
+	if p.down || p.paused {
 		return
 	}
 	m.leaving[i] = true
-	m.w.do(h, func(n *membership.Node) membership.Actions { return n.Leave(m.w.now) })
+	m.w.do(p, func(n *membership.Node) membership.Actions { return n.Leave(m.w.now) })
 }
 
 func (m *machine) Cut(t *rapid.T) {
@@ -113,12 +113,12 @@
 func (m *machine) Check(t *rapid.T) { m.checkAll(t) }
 
 func (m *machine) checkAll(t *rapid.T) {
-	for _, h := range m.w.processes {
-		if m.held[h] == nil {
-			m.held[h] = map[string]membership.Rank{}
+	for _, p := range m.w.processes {
+		if m.held[p] == nil {
+			m.held[p] = map[string]membership.Rank{}
 		}
 		for i := range machineVMs {
-			m.checkMember(t, h, vmName(i))
+			m.checkMember(t, p, vmName(i))
 		}
 	}
 	if m.w.longest > membership.MaxDatagram {
@@ -126,25 +126,25 @@
 	}
 }
 
-func (m *machine) checkMember(t *rapid.T, h *process, vm string) {
-	before, now := m.held[h][vm], h.node.Rank(vm)
-	m.held[h][vm] = now
+func (m *machine) checkMember(t *rapid.T, p *process, vm string) {
+	before, now := m.held[p][vm], p.node.Rank(vm)
+	m.held[p][vm] = now
 	if now.OlderThan(before) {
-		t.Fatalf("%s held %+v of %s and reverts to %+v", h.name, before, vm, now)
+		t.Fatalf("%s held %+v of %s and reverts to %+v", p.name, before, vm, now)
 	}
-	if vm == h.name && now.State != pb.MemberState_ALIVE && now.State != pb.MemberState_LEAVING {
+	if vm == p.name && now.State != pb.MemberState_ALIVE && now.State != pb.MemberState_LEAVING {
 		t.Fatalf("%s holds itself %+v", vm, now)
 	}
 	if owner := m.owner(vm, now.Incarnation); owner != nil && owner.node.Rank(vm).Refutation < now.Refutation {
-		t.Fatalf("%s holds %+v of %s, which never announced it", h.name, now, vm)
+		t.Fatalf("%s holds %+v of %s, which never announced it", p.name, now, vm)
 	}
 }
 
 // owner returns the process of an incarnation.
 func (m *machine) owner(vm string, incarnation uint64) *process {
-	for _, h := range m.w.processes {
-		if h.name == vm && h.opts.Self.Incarnation == incarnation {
-			return h
+	for _, p := range m.w.processes {
+		if p.name == vm && p.opts.Self.Incarnation == incarnation {
+			return p
 		}
 	}
 	return nil
@@ -157,8 +157,8 @@
 	m.Resume(t)
 	m.publish()
 	var want []int
-	for i, h := range m.current {
-		if !h.down && !m.leaving[i] {
+	for i, p := range m.current {
+		if !p.down && !m.leaving[i] {
 			want = append(want, i)
 		}
 	}
@@ -171,12 +171,12 @@
 // publish updates the platform's list to the current addresses.
 func (m *machine) publish() {
 	list := listed(machineVMs)
-	for i, h := range m.current {
-		list[i].PeerAddress = h.opts.Self.PeerAddress
+	for i, p := range m.current {
+		list[i].PeerAddress = p.opts.Self.PeerAddress
 	}
-	for _, h := range m.w.processes {
-		if !h.down {
-			m.w.do(h, func(n *membership.Node) membership.Actions { return n.SetList(m.w.now, list) })
+	for _, p := range m.w.processes {
+		if !p.down {
+			m.w.do(p, func(n *membership.Node) membership.Actions { return n.SetList(m.w.now, list) })
 		}
 	}
 }
@@ -184,22 +184,22 @@
 // agree checks the newest process of each VM. Older ones must know that they are
 // superseded, unless no VM of another name is left to answer them.
 func (m *machine) agree(want []int) bool {
-	for _, h := range m.w.processes {
-		if h == m.w.byVM[h.name] || h.down {
+	for _, p := range m.w.processes {
+		if p == m.w.byVM[p.name] || p.down {
 			continue
 		}
-		if m.others(h) && !strings.Contains(strings.Join(h.events, " "), "superseded") {
+		if m.others(p) && !strings.Contains(strings.Join(p.events, " "), "superseded") {
 			return false
 		}
-		h.down = true
+		p.down = true
 	}
 	return m.w.agree(want...)
 }
 
 // others reports whether a VM of another name is up.
-func (m *machine) others(h *process) bool {
+func (m *machine) others(p *process) bool {
 	for _, o := range m.current {
-		if o.name != h.name && !o.down {
+		if o.name != p.name && !o.down {
 			return true
 		}
 	}
@@ -230,12 +230,12 @@
 	long := func(i int) string { return vmName(i) + strings.Repeat("x", 63-len(vmName(i))) }
 	const ipv6 = "[2001:0db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535"
 	for i := range 40 {
-		h := w.add(i)
-		h.opts.Self.Vm = long(i)
-		h.opts.Self.Region, h.opts.Self.DataCentre, h.opts.Self.Rack = long(1), long(2), long(3)
-		h.opts.Self.CallerAddress = ipv6
-		h.opts.Seeds = []string{address(0)}
-		h.node = membership.New(w.now, h.opts)
+		p := w.add(i)
+		p.opts.Self.Vm = long(i)
+		p.opts.Self.Region, p.opts.Self.DataCentre, p.opts.Self.Rack = long(1), long(2), long(3)
+		p.opts.Self.CallerAddress = ipv6
+		p.opts.Seeds = []string{address(0)}
+		p.node = membership.New(w.now, p.opts)
 	}
 	w.run(90 * time.Second)
 	if w.longest > membership.MaxDatagram {
--- a/internal/membership/revalidation.go
+++ b/internal/membership/revalidation.go
@@ -21,9 +21,9 @@
 	responders map[string]bool
 }
 
-func (d *revalidation) handleAck(id uint64, from string) {
-	if d.probeIDs[id] {
-		d.responders[from] = true
+func (rv *revalidation) handleAck(id uint64, from string) {
+	if rv.probeIDs[id] {
+		rv.responders[from] = true
 	}
 }
 
@@ -38,8 +38,8 @@
 	}
 	n.stats.Pauses++
 	n.out.Revalidate = true
-	// Unanswered probes and running suspicions prove nothing about the time of the
-	// pause.
+	// No answer could be processed during the pause: the pending probe is dropped and
+	// suspicions are extended by the pause.
 	n.pending = nil
 	for _, r := range n.table.sorted {
 		r.suspectUntil = r.suspectUntil.Add(gap)
@@ -49,13 +49,13 @@
 }
 
 func (n *Node) probeForRevalidation() {
-	d := n.revalidation
-	d.askedAt = n.now
-	d.round++
-	peers := n.pick(n.timing.Indirect*2, func(r *record) bool { return r.serves() && !d.responders[r.VM] })
-	d.quorum = min(n.timing.Indirect, len(d.responders)+len(peers))
+	rv := n.revalidation
+	rv.askedAt = n.now
+	rv.round++
+	peers := n.pick(n.timing.Indirect*2, func(r *record) bool { return r.serves() && !rv.responders[r.VM] })
+	rv.quorum = min(n.timing.Indirect, len(rv.responders)+len(peers))
 	for _, r := range peers {
-		d.probeIDs[n.sendProbe(r)] = true
+		rv.probeIDs[n.sendProbe(r)] = true
 	}
 }
 
@@ -63,20 +63,20 @@
 // probes sent after the pause. Datagrams that those members sent earlier precede
 // the answers in the inbox and have been processed by that time.
 func (n *Node) advanceRevalidation() {
-	d := n.revalidation
-	if d == nil {
+	rv := n.revalidation
+	if rv == nil {
 		return
 	}
-	waited := n.now.Sub(d.askedAt) >= n.timing.AskAgain
+	waited := n.now.Sub(rv.askedAt) >= n.timing.AskAgain
 	switch {
-	case len(d.responders) >= d.quorum:
+	case len(rv.responders) >= rv.quorum:
 	case !waited:
 		return
-	case d.round < maxRevalidationRounds:
+	case rv.round < maxRevalidationRounds:
 		n.probeForRevalidation()
 		return
 	}
-	n.out.Alone = len(d.responders) == 0
+	n.out.Alone = len(rv.responders) == 0
 	n.revalidation = nil
 	n.out.Revalidated = true
 }
--- a/internal/membership/start_test.go
+++ b/internal/membership/start_test.go
@@ -29,10 +29,10 @@
 // startingFleet is a fleet whose processes all start within some tenths of a second.
 type startingFleet struct {
 	*network
-	count   int
-	begin   time.Time
-	started []*process
-	pending []listRequest
+	count     int
+	startedAt time.Time
+	started   []*process
+	pending   []listRequest
 	// listBytes counts the uncompressed bytes of lists received from other regions.
 	listBytes int
 }
@@ -40,7 +40,7 @@
 func newStartingFleet(seed uint64, count int) *startingFleet {
 	w := newNetwork(seed)
 	w.loss = 0.01
-	s := &startingFleet{network: w, count: count, begin: w.now, started: make([]*process, count)}
+	s := &startingFleet{network: w, count: count, startedAt: w.now, started: make([]*process, count)}
 	for i := range count {
 		at := w.now.Add(time.Duration(w.rand.IntN(300)) * time.Millisecond)
 		for _, after := range listRequestDelays {
@@ -101,14 +101,14 @@
 
 // minKnown returns the smallest number of serving members that any VM knows.
 func (s *startingFleet) minKnown() int {
-	least := s.count
-	for _, h := range s.started {
-		if h == nil {
+	fewest := s.count
+	for _, p := range s.started {
+		if p == nil {
 			return 0
 		}
-		least = min(least, len(h.node.View().Serving()))
+		fewest = min(fewest, len(p.node.View().Serving()))
 	}
-	return least
+	return fewest
 }
 
 var _ = Describe("a fleet of hundreds of VMs that starts at once", func() {
@@ -120,15 +120,15 @@
 	It("discovers all members within three seconds with little traffic between regions", func() {
 		for seed := range uint64(5) {
 			s := newStartingFleet(seed, 295)
-			for s.now.Sub(s.begin) < 2*time.Second {
+			for s.now.Sub(s.startedAt) < 2*time.Second {
 				s.step()
 			}
 			Expect(s.minKnown()).To(BeNumerically(">=", 290), "seed %d", seed)
-			for s.now.Sub(s.begin) < 3200*time.Millisecond {
+			for s.now.Sub(s.startedAt) < 3200*time.Millisecond {
 				s.step()
 			}
 			Expect(s.minKnown()).To(Equal(295), "seed %d", seed)
-			for s.now.Sub(s.begin) < 14*time.Second {
+			for s.now.Sub(s.startedAt) < 14*time.Second {
 				s.step()
 			}
 			Expect(s.minKnown()).To(Equal(295), "seed %d", seed)
