--- a/internal/membership/network_test.go
+++ b/internal/membership/network_test.go
@@ -12,37 +12,37 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// tick is how often nodes are moved on, as the driver does.
+// tick is the interval between ticks of the nodes, as in the driver.
 const tick = 200 * time.Millisecond
 
-// headerBytes is what UDP and IP add to each datagram.
+// headerBytes is the size of the UDP and IP headers of a datagram.
 const headerBytes = 28
 
-// network carries datagrams between nodes in simulated time, with faults drawn
-// from a fixed seed.
+// network carries datagrams between nodes in simulated time, with faults drawn from
+// a fixed seed.
 type network struct {
-	now   time.Time
-	rand  *rand.Rand
-	hosts []*host
-	byVM  map[string]*host
-	// byAddress finds the host that answers an address now.
-	byAddress map[string]*host
+	now       time.Time
+	rand      *rand.Rand
+	processes []*process
+	byVM      map[string]*process
+	// byAddress maps an address to the process that currently receives there.
+	byAddress map[string]*process
 	flights   flights
 	serial    uint64
 
 	loss      float64
 	duplicate float64
 	delay     func() time.Duration
-	// cut tells which ways are interrupted.
+	// cut reports whether datagrams between two VMs are dropped in that direction.
 	cut func(from, to string) bool
 
 	bytes, datagrams, longest int
-	// crossing is the bytes sent to other data centres.
-	crossing int
+	// remoteBytes counts the bytes sent to other data centres.
+	remoteBytes int
 }
 
-// host is one VM of the network.
-type host struct {
+// process is a process of one VM in the network.
+type process struct {
 	name   string
 	opts   membership.Options
 	node   *membership.Node
@@ -58,83 +58,83 @@
 	w := &network{
 		now:       time.Unix(1_700_000_000, 0),
 		rand:      rand.New(rand.NewPCG(seed, 1)),
-		byVM:      map[string]*host{},
-		byAddress: map[string]*host{},
+		byVM:      map[string]*process{},
+		byAddress: map[string]*process{},
 		cut:       func(string, string) bool { return false },
 	}
 	w.delay = func() time.Duration { return time.Duration(1+w.rand.IntN(12)) * time.Millisecond }
 	return w
 }
 
-func hostName(i int) string { return fmt.Sprintf("vm-%03d", i+1) }
+func vmName(i int) string { return fmt.Sprintf("vm-%03d", i+1) }
 
 func address(i int) string { return fmt.Sprintf("10.0.%d.%d:7100", i/200, i%200+1) }
 
 func listed(count int) []*pb.VM {
 	var out []*pb.VM
 	for i := range count {
-		out = append(out, &pb.VM{Id: hostName(i), State: pb.VMState_LIVE, Region: "north", DataCentre: "north-1",
+		out = append(out, &pb.VM{Id: vmName(i), State: pb.VMState_LIVE, Region: "north", DataCentre: "north-1",
 			CallerAddress: "10.0.0.1:7000", PeerAddress: address(i)})
 	}
 	return out
 }
 
 // add starts a process of VM i.
-func (w *network) add(i int) *host { return w.addAt(i, address(i)) }
+func (w *network) add(i int) *process { return w.addAt(i, address(i)) }
 
-// addAt starts a process of VM i at an address of its own.
-func (w *network) addAt(i int, address string) *host {
+// addAt starts a process of VM i at the given address.
+func (w *network) addAt(i int, address string) *process {
 	return w.addWith(membership.Options{
-		Self: &pb.MemberUpdate{Vm: hostName(i), Incarnation: uint64(w.now.UnixMicro()) + uint64(i), Region: "north", DataCentre: "north-1",
+		Self: &pb.MemberUpdate{Vm: vmName(i), Incarnation: uint64(w.now.UnixMicro()) + uint64(i), Region: "north", DataCentre: "north-1",
 			CallerAddress: "10.0.0.1:7000", PeerAddress: address},
 		Seed: w.rand.Uint64(),
 	})
 }
 
 // addBehind starts a process of VM i whose clock is set back.
-func (w *network) addBehind(i int, by time.Duration, sole bool) *host {
+func (w *network) addBehind(i int, by time.Duration, sole bool) *process {
 	return w.addWith(membership.Options{
-		Self: &pb.MemberUpdate{Vm: hostName(i), Incarnation: uint64(w.now.Add(-by).UnixMicro()), Region: "north", DataCentre: "north-1",
+		Self: &pb.MemberUpdate{Vm: vmName(i), Incarnation: uint64(w.now.Add(-by).UnixMicro()), Region: "north", DataCentre: "north-1",
 			CallerAddress: "10.0.0.1:7000", PeerAddress: address(i)},
 		Sole: sole,
 		Seed: w.rand.Uint64(),
 	})
 }
 
-func (w *network) addWith(opts membership.Options) *host {
-	h := &host{name: opts.Self.Vm, opts: opts}
-	h.node = membership.New(w.now, h.opts)
-	w.hosts = append(w.hosts, h)
-	w.byVM[h.name] = h
-	w.byAddress[opts.Self.PeerAddress] = h
-	return h
+func (w *network) addWith(opts membership.Options) *process {
+	p := &process{name: opts.Self.Vm, opts: opts}
+	p.node = membership.New(w.now, p.opts)
+	w.processes = append(w.processes, p)
+	w.byVM[p.name] = p
+	w.byAddress[opts.Self.PeerAddress] = p
+	return p
 }
 
-// fill starts count VMs that all have the list.
+// fill starts count VMs that all have the platform's list.
 func (w *network) fill(count int) {
 	for i := range count {
 		w.do(w.add(i), func(n *membership.Node) membership.Actions { return n.SetList(w.now, listed(count)) })
 	}
 }
 
-func (w *network) do(h *host, step func(*membership.Node) membership.Actions) {
-	act := step(h.node)
+func (w *network) do(p *process, step func(*membership.Node) membership.Actions) {
+	act := step(p.node)
 	if act.Revalidate {
-		h.events = append(h.events, "revalidate")
+		p.events = append(p.events, "revalidate")
 	}
 	if act.Revalidated {
-		h.events = append(h.events, "revalidated")
-		h.alone = act.Alone
+		p.events = append(p.events, "revalidated")
+		p.alone = act.Alone
 	}
 	if act.Superseded != 0 {
-		h.events = append(h.events, "superseded")
+		p.events = append(p.events, "superseded")
 	}
 	for _, s := range act.Sends {
-		w.send(h, s)
+		w.send(p, s)
 	}
 }
 
-func (w *network) send(from *host, s membership.Send) {
+func (w *network) send(from *process, s membership.Send) {
 	w.serial++
 	s.Datagram.Sequence = w.serial
 	size := proto.Size(s.Datagram) + membership.SignatureBytes
@@ -142,7 +142,7 @@
 	w.datagrams++
 	w.longest = max(w.longest, size)
 	if s.DataCentre != from.opts.Self.DataCentre {
-		w.crossing += size + headerBytes
+		w.remoteBytes += size + headerBytes
 	}
 	to := w.byAddress[s.Address]
 	if to == nil || w.cut(from.name, to.name) {
@@ -160,20 +160,20 @@
 	}
 }
 
-// run moves the network on; every tick is offset by host so that they do not
-// all act at once.
+// run advances simulated time. Each tick delivers the datagrams that are due and
+// ticks every process that is up.
 func (w *network) run(d time.Duration) {
 	end := w.now.Add(d)
 	for w.now.Before(end) {
 		next := w.now.Add(tick)
 		w.deliver(next)
 		w.now = next
-		for _, h := range w.hosts {
-			if h.down || h.paused {
+		for _, p := range w.processes {
+			if p.down || p.paused {
 				continue
 			}
-			w.drain(h)
-			w.do(h, func(n *membership.Node) membership.Actions { return n.Tick(w.now) })
+			w.drain(p)
+			w.do(p, func(n *membership.Node) membership.Actions { return n.Tick(w.now) })
 		}
 	}
 }
@@ -192,13 +192,13 @@
 	}
 }
 
-func (w *network) drain(h *host) {
-	inbox := h.inbox
-	h.inbox = nil
+func (w *network) drain(p *process) {
+	inbox := p.inbox
+	p.inbox = nil
 	for _, d := range inbox {
 		copied := proto.CloneOf(d)
-		w.do(h, func(n *membership.Node) membership.Actions {
-			// The driver's windows tell the datagrams of replaced processes.
+		w.do(p, func(n *membership.Node) membership.Actions {
+			// The driver passes datagrams of replaced processes to Outdated.
 			if n.Rank(d.Sender.Vm).Incarnation > d.Sender.Incarnation {
 				return n.Outdated(w.now, copied.Sender)
 			}
@@ -207,25 +207,25 @@
 	}
 }
 
-// state is how from sees to.
+// state returns the state of one VM in another VM's view.
 func (w *network) state(from, to int) pb.MemberState {
-	m, _ := w.hosts[from].node.View().Find(hostName(to))
+	m, _ := w.processes[from].node.View().Find(vmName(to))
 	return m.State
 }
 
-// agree tells whether every host that is up sees the members of want, and no
-// other, serving.
+// agree reports whether every process that is up sees exactly the members of want as
+// serving.
 func (w *network) agree(want ...int) bool {
-	for _, h := range w.hosts {
-		if h.down || h.paused {
+	for _, p := range w.processes {
+		if p.down || p.paused {
 			continue
 		}
-		serving := h.node.View().Serving()
+		serving := p.node.View().Serving()
 		if len(serving) != len(want) {
 			return false
 		}
 		for i, m := range serving {
-			if m.VM != hostName(want[i]) {
+			if m.VM != vmName(want[i]) {
 				return false
 			}
 		}
@@ -233,8 +233,9 @@
 	return true
 }
 
-// until runs until ok or the limit and returns the time it took.
-func (w *network) until(limit time.Duration, ok func() bool) (time.Duration, bool) {
+// runUntil runs until ok returns true or the limit has passed, and returns the time
+// it took.
+func (w *network) runUntil(limit time.Duration, ok func() bool) (time.Duration, bool) {
 	start := w.now
 	for w.now.Sub(start) < limit {
 		if ok() {
@@ -262,7 +263,7 @@
 type flight struct {
 	at       time.Time
 	serial   uint64
-	to       *host
+	to       *process
 	datagram *pb.Datagram
 }
 
--- a/internal/membership/rapid_test.go
+++ b/internal/membership/rapid_test.go
@@ -12,31 +12,31 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// machine drives five VMs through drawn faults and looks at what every node
-// holds of every member after each step.
+// machine is a rapid state machine. It applies random faults to five VMs and checks every
+// node's record of every member after each step.
 type machine struct {
 	w *network
 	// current is the newest process of each VM.
-	current []*host
+	current []*process
 	started int
 	leaving []bool
-	held    map[*host]map[string]membership.Rank
+	held    map[*process]map[string]membership.Rank
 }
 
 const machineVMs = 5
 
 func newMachine(seed uint64) *machine {
-	m := &machine{w: newNetwork(seed), leaving: make([]bool, machineVMs), held: map[*host]map[string]membership.Rank{}}
+	m := &machine{w: newNetwork(seed), leaving: make([]bool, machineVMs), held: map[*process]map[string]membership.Rank{}}
 	m.w.loss = 0.02
 	m.w.duplicate = 0.05
 	m.w.delay = reorder(m.w)
 	m.w.fill(machineVMs)
-	m.current = append(m.current, m.w.hosts...)
+	m.current = append(m.current, m.w.processes...)
 	m.w.run(10 * time.Second)
 	return m
 }
 
-// reorder lets one datagram in ten be late by up to a second.
+// reorder delays one datagram in ten by up to a second.
 func reorder(w *network) func() time.Duration {
 	return func() time.Duration {
 		if w.rand.IntN(10) == 0 {
@@ -48,22 +48,22 @@
 
 func (m *machine) draw(t *rapid.T) int { return rapid.IntRange(0, machineVMs-1).Draw(t, "vm") }
 
-// Crash ends every process of a VM: were an old one to wake after its successor
-// has crashed unheard of, nobody could know better than to take it back.
+// Crash ends every process of a VM. If an old process resumed after its successor had
+// crashed unseen by the others, they would rightly take it back.
 func (m *machine) Crash(t *rapid.T) {
-	name := hostName(m.draw(t))
-	for _, h := range m.w.hosts {
-		h.down = h.down || h.name == name
+	name := vmName(m.draw(t))
+	for _, p := range m.w.processes {
+		p.down = p.down || p.name == name
 	}
 }
 
 func (m *machine) Replace(t *rapid.T) {
 	i := m.draw(t)
 	if old := m.current[i]; !old.paused {
-		// A paused process lives on under the name of the new one.
+		// A paused process resumes later under the same name as the new one.
 		old.down = true
 	}
-	// No two processes of a VM start at one moment.
+	// Two processes of a VM never start at the same moment.
 	m.w.run(tick)
 	m.started++
 	m.current[i] = m.w.addAt(i, address(machineVMs+m.started))
@@ -74,29 +74,29 @@
 func (m *machine) Pause(t *rapid.T) { m.current[m.draw(t)].paused = true }
 
 func (m *machine) Resume(*rapid.T) {
-	for _, h := range m.w.hosts {
-		h.paused = false
+	for _, p := range m.w.processes {
+		p.paused = false
 	}
 }
 
 func (m *machine) Leave(t *rapid.T) {
 	i := m.draw(t)
-	h := m.current[i]
-	if h.down || h.paused {
+	p := m.current[i]
+	if p.down || p.paused {
 		return
 	}
 	m.leaving[i] = true
-	m.w.do(h, func(n *membership.Node) membership.Actions { return n.Leave(m.w.now) })
+	m.w.do(p, func(n *membership.Node) membership.Actions { return n.Leave(m.w.now) })
 }
 
 func (m *machine) Cut(t *rapid.T) {
-	from, to := hostName(m.draw(t)), hostName(m.draw(t))
+	from, to := vmName(m.draw(t)), vmName(m.draw(t))
 	before := m.w.cut
 	m.w.cut = func(a, b string) bool { return before(a, b) || a == from && b == to }
 }
 
 func (m *machine) Split(t *rapid.T) {
-	at := hostName(m.draw(t))
+	at := vmName(m.draw(t))
 	m.w.cut = func(a, b string) bool { return (a < at) != (b < at) }
 }
 
@@ -105,113 +105,112 @@
 func (m *machine) Wait(t *rapid.T) {
 	for range rapid.IntRange(1, 60).Draw(t, "ticks") {
 		m.w.run(tick)
-		m.look(t)
+		m.checkAll(t)
 	}
 }
 
-// Check is run by rapid after each step.
-func (m *machine) Check(t *rapid.T) { m.look(t) }
+// Check is called by rapid after each step.
+func (m *machine) Check(t *rapid.T) { m.checkAll(t) }
 
-func (m *machine) look(t *rapid.T) {
-	for _, h := range m.w.hosts {
-		if m.held[h] == nil {
-			m.held[h] = map[string]membership.Rank{}
+func (m *machine) checkAll(t *rapid.T) {
+	for _, p := range m.w.processes {
+		if m.held[p] == nil {
+			m.held[p] = map[string]membership.Rank{}
 		}
 		for i := range machineVMs {
-			m.lookAt(t, h, hostName(i))
+			m.checkMember(t, p, vmName(i))
 		}
 	}
 	if m.w.longest > membership.MaxDatagram {
-		t.Fatalf("a datagram of %d bytes", m.w.longest)
+		t.Fatalf("datagram of %d bytes", m.w.longest)
 	}
 }
 
-func (m *machine) lookAt(t *rapid.T, h *host, vm string) {
-	before, now := m.held[h][vm], h.node.Rank(vm)
-	m.held[h][vm] = now
-	if now.Below(before) {
-		t.Fatalf("%s held %+v of %s and goes back to %+v", h.name, before, vm, now)
+func (m *machine) checkMember(t *rapid.T, p *process, vm string) {
+	before, now := m.held[p][vm], p.node.Rank(vm)
+	m.held[p][vm] = now
+	if now.OlderThan(before) {
+		t.Fatalf("%s held %+v of %s and reverts to %+v", p.name, before, vm, now)
 	}
-	if vm == h.name && now.State != pb.MemberState_ALIVE && now.State != pb.MemberState_LEAVING {
+	if vm == p.name && now.State != pb.MemberState_ALIVE && now.State != pb.MemberState_LEAVING {
 		t.Fatalf("%s holds itself %+v", vm, now)
 	}
 	if owner := m.owner(vm, now.Incarnation); owner != nil && owner.node.Rank(vm).Refutation < now.Refutation {
-		t.Fatalf("%s holds %+v of %s, which never said so", h.name, now, vm)
+		t.Fatalf("%s holds %+v of %s, which never announced it", p.name, now, vm)
 	}
 }
 
-// owner is the process of an incarnation.
-func (m *machine) owner(vm string, incarnation uint64) *host {
-	for _, h := range m.w.hosts {
-		if h.name == vm && h.opts.Self.Incarnation == incarnation {
-			return h
+// owner returns the process of an incarnation.
+func (m *machine) owner(vm string, incarnation uint64) *process {
+	for _, p := range m.w.processes {
+		if p.name == vm && p.opts.Self.Incarnation == incarnation {
+			return p
 		}
 	}
 	return nil
 }
 
-// settle mends everything and wants the views to agree.
+// settle removes all faults and requires the views to agree.
 func (m *machine) settle(t *rapid.T) {
 	m.w.loss = 0
 	m.Heal(t)
 	m.Resume(t)
 	m.publish()
 	var want []int
-	for i, h := range m.current {
-		if !h.down && !m.leaving[i] {
+	for i, p := range m.current {
+		if !p.down && !m.leaving[i] {
 			want = append(want, i)
 		}
 	}
-	_, ok := m.w.until(limit, func() bool { return m.agree(want) })
+	_, ok := m.w.runUntil(limit, func() bool { return m.agree(want) })
 	if !ok {
 		t.Fatalf("views do not agree on %v", want)
 	}
 }
 
-// publish lets the platform's list catch up with the addresses of today.
+// publish updates the platform's list to the current addresses.
 func (m *machine) publish() {
 	list := listed(machineVMs)
-	for i, h := range m.current {
-		list[i].PeerAddress = h.opts.Self.PeerAddress
+	for i, p := range m.current {
+		list[i].PeerAddress = p.opts.Self.PeerAddress
 	}
-	for _, h := range m.w.hosts {
-		if !h.down {
-			m.w.do(h, func(n *membership.Node) membership.Actions { return n.SetList(m.w.now, list) })
+	for _, p := range m.w.processes {
+		if !p.down {
+			m.w.do(p, func(n *membership.Node) membership.Actions { return n.SetList(m.w.now, list) })
 		}
 	}
 }
 
-// agree looks at the newest processes; older ones must know that they are not,
-// unless no third VM is left that could tell them.
+// agree checks the newest process of each VM. Older ones must know that they are
+// superseded, unless no VM of another name is left to answer them.
 func (m *machine) agree(want []int) bool {
-	for _, h := range m.w.hosts {
-		if h == m.w.byVM[h.name] || h.down {
+	for _, p := range m.w.processes {
+		if p == m.w.byVM[p.name] || p.down {
 			continue
 		}
-		if m.others(h) && !strings.Contains(strings.Join(h.events, " "), "superseded") {
+		if m.others(p) && !strings.Contains(strings.Join(p.events, " "), "superseded") {
 			return false
 		}
-		h.down = true
+		p.down = true
 	}
 	return m.w.agree(want...)
 }
 
-// others tells whether a VM of another name is up.
-func (m *machine) others(h *host) bool {
+// others reports whether a VM of another name is up.
+func (m *machine) others(p *process) bool {
 	for _, o := range m.current {
-		if o.name != h.name && !o.down {
+		if o.name != p.name && !o.down {
 			return true
 		}
 	}
 	return false
 }
 
-// Symptom: a VM is dead to some and alive to others for good, or is killed by a
-// suspicion that it has refuted.
-// Sequence: drawn crashes, replacements, pauses, stops, cuts one way and both
-// ways, heals, loss, repeats and reordering.
-// Cause: an old word is taken for a new one.
-func TestMembershipHoldsUnderDrawnFaults(t *testing.T) {
+// Guards against a VM that some nodes hold dead and others alive for good, and against a
+// VM declared dead by a suspicion that it has refuted. Both come about when an outdated
+// update is applied over a newer one. Faults are random crashes, replacements, pauses,
+// stops, cuts one way and both ways, heals, loss, duplicates and reordering.
+func TestMembershipUnderRandomFaults(t *testing.T) {
 	for name, value := range map[string]string{"rapid.seed": "11", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
 			t.Fatal(err)
@@ -224,26 +223,25 @@
 	})
 }
 
-// Symptom: datagrams of a fleet with long names are fragmented or lost.
-// Sequence: every name and address is as long as is allowed.
-// Cause: room is counted in members and not in bytes.
-func TestDatagramsAreShortWithLongNames(t *testing.T) {
+// Guards against datagrams that are fragmented or lost because their size is limited by
+// members and not by bytes. Every name and address has the maximum length.
+func TestDatagramSizeWithLongNames(t *testing.T) {
 	w := newNetwork(1)
-	long := func(i int) string { return hostName(i) + strings.Repeat("x", 63-len(hostName(i))) }
+	long := func(i int) string { return vmName(i) + strings.Repeat("x", 63-len(vmName(i))) }
 	const ipv6 = "[2001:0db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535"
 	for i := range 40 {
-		h := w.add(i)
-		h.opts.Self.Vm = long(i)
-		h.opts.Self.Region, h.opts.Self.DataCentre, h.opts.Self.Rack = long(1), long(2), long(3)
-		h.opts.Self.CallerAddress = ipv6
-		h.opts.Seeds = []string{address(0)}
-		h.node = membership.New(w.now, h.opts)
+		p := w.add(i)
+		p.opts.Self.Vm = long(i)
+		p.opts.Self.Region, p.opts.Self.DataCentre, p.opts.Self.Rack = long(1), long(2), long(3)
+		p.opts.Self.CallerAddress = ipv6
+		p.opts.Seeds = []string{address(0)}
+		p.node = membership.New(w.now, p.opts)
 	}
 	w.run(90 * time.Second)
 	if w.longest > membership.MaxDatagram {
-		t.Fatalf("a datagram of %d bytes", w.longest)
+		t.Fatalf("datagram of %d bytes", w.longest)
 	}
-	if got := len(w.hosts[39].node.View().Serving()); got != 40 {
-		t.Fatalf("%d members known", got)
+	if got := len(w.processes[39].node.View().Serving()); got != 40 {
+		t.Fatalf("%d members known, want 40", got)
 	}
 }
--- a/internal/membership/start_test.go
+++ b/internal/membership/start_test.go
@@ -12,48 +12,48 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// startSeeds are the VMs that the others know of from the start, one a region.
+// startSeeds are the VMs that all others know at the start, one per region.
 var startSeeds = []int{0, 2, 4}
 
-// joinsAfter is when a process asks for lists of members after its start, as the daemon
-// does.
-var joinsAfter = []time.Duration{0, 400 * time.Millisecond, 1100 * time.Millisecond, 2600 * time.Millisecond}
+// listRequestDelays are the times after its start at which a process requests lists of
+// members, as the daemon does.
+var listRequestDelays = []time.Duration{0, 400 * time.Millisecond, 1100 * time.Millisecond, 2600 * time.Millisecond}
 
-// question is a question for a list that is due at a VM.
-type question struct {
+// listRequest is a scheduled request of a VM for lists of members.
+type listRequest struct {
 	at    time.Time
 	vm    int
 	after time.Duration
 }
 
-// start is a fleet whose processes all start within some tenths of a second.
-type start struct {
+// startingFleet is a fleet whose processes all start within some tenths of a second.
+type startingFleet struct {
 	*network
-	count   int
-	begin   time.Time
-	started []*host
-	due     []question
-	// lists is the bytes of lists that other regions gave, not packed.
-	lists int
+	count     int
+	startedAt time.Time
+	started   []*process
+	pending   []listRequest
+	// listBytes counts the uncompressed bytes of lists received from other regions.
+	listBytes int
 }
 
-func newStart(seed uint64, count int) *start {
+func newStartingFleet(seed uint64, count int) *startingFleet {
 	w := newNetwork(seed)
 	w.loss = 0.01
-	s := &start{network: w, count: count, begin: w.now, started: make([]*host, count)}
+	s := &startingFleet{network: w, count: count, startedAt: w.now, started: make([]*process, count)}
 	for i := range count {
 		at := w.now.Add(time.Duration(w.rand.IntN(300)) * time.Millisecond)
-		for _, after := range joinsAfter {
-			s.due = append(s.due, question{at.Add(after), i, after})
+		for _, after := range listRequestDelays {
+			s.pending = append(s.pending, listRequest{at.Add(after), i, after})
 		}
 	}
 	return s
 }
 
-// step moves the fleet on by one tick of the network.
-func (s *start) step() {
+// step sends the list requests that are due and advances the network by one tick.
+func (s *startingFleet) step() {
 	now := s.now
-	s.due = slices.DeleteFunc(s.due, func(q question) bool {
+	s.pending = slices.DeleteFunc(s.pending, func(q listRequest) bool {
 		if now.Before(q.at) {
 			return false
 		}
@@ -66,9 +66,9 @@
 	s.run(tick)
 }
 
-// ask puts a question: everybody asks all seeds at its start and then the nearest; seeds
-// ask each other.
-func (s *start) ask(q question) {
+// ask performs a list request. Every VM asks all seeds at its start and then those of its
+// own region; seeds ask each other.
+func (s *startingFleet) ask(q listRequest) {
 	for _, seed := range startSeeds {
 		if q.after == 0 || slices.Contains(startSeeds, q.vm) || regionOf(seed) == regionOf(q.vm) {
 			s.exchange(q.vm, seed, q.after > 0)
@@ -76,8 +76,9 @@
 	}
 }
 
-// exchange tells one VM of another one that asks it, and the asker what it gets for it.
-func (s *start) exchange(from, to int, whole bool) {
+// exchange passes the asker's record to the other VM, and that VM's list or own record
+// to the asker.
+func (s *startingFleet) exchange(from, to int, whole bool) {
 	if from == to || s.started[to] == nil {
 		return
 	}
@@ -92,47 +93,47 @@
 	for i, u := range list {
 		list[i] = proto.CloneOf(u)
 		if regionOf(from) != regionOf(to) {
-			s.lists += proto.Size(u)
+			s.listBytes += proto.Size(u)
 		}
 	}
 	s.do(asker, func(n *membership.Node) membership.Actions { return n.Learn(s.now, list) })
 }
 
-// least is how many VMs the one knows that knows fewest.
-func (s *start) least() int {
-	least := s.count
-	for _, h := range s.started {
-		if h == nil {
+// minKnown returns the smallest number of serving members that any VM knows.
+func (s *startingFleet) minKnown() int {
+	fewest := s.count
+	for _, p := range s.started {
+		if p == nil {
 			return 0
 		}
-		least = min(least, len(h.node.View().Serving()))
+		fewest = min(fewest, len(p.node.View().Serving()))
 	}
-	return least
+	return fewest
 }
 
-var _ = Describe("a fleet of hundreds that starts at once", func() {
-	// Symptom: after the loss of all VMs callers are sent to few of them, which take too
-	// large a part of what all share; and the start costs more than the hour after it.
-	// Sequence: 295 processes start within 0.3 s, in three regions, with a seed in each.
-	// Cause: seeds were asked before they knew anybody, each answer crossed regions whole,
-	// and what it told was passed on as news.
-	It("knows itself after two to three seconds, and little of it crosses between regions", func() {
+var _ = Describe("a fleet of hundreds of VMs that starts at once", func() {
+	// Guards against a restarted fleet in which callers know only a few VMs, which are then
+	// overloaded, and against a start that costs more traffic than the hour after it. 295
+	// processes start within 0.3 s in three regions, with a seed in each. The fault came about
+	// when seeds were asked before they knew any member, every answer crossed regions in full,
+	// and the members in it were disseminated again.
+	It("discovers all members within three seconds with little traffic between regions", func() {
 		for seed := range uint64(5) {
-			s := newStart(seed, 295)
-			for s.now.Sub(s.begin) < 2*time.Second {
+			s := newStartingFleet(seed, 295)
+			for s.now.Sub(s.startedAt) < 2*time.Second {
 				s.step()
 			}
-			Expect(s.least()).To(BeNumerically(">=", 290), "seed %d", seed)
-			for s.now.Sub(s.begin) < 3200*time.Millisecond {
+			Expect(s.minKnown()).To(BeNumerically(">=", 290), "seed %d", seed)
+			for s.now.Sub(s.startedAt) < 3200*time.Millisecond {
 				s.step()
 			}
-			Expect(s.least()).To(Equal(295), "seed %d", seed)
-			for s.now.Sub(s.begin) < 14*time.Second {
+			Expect(s.minKnown()).To(Equal(295), "seed %d", seed)
+			for s.now.Sub(s.startedAt) < 14*time.Second {
 				s.step()
 			}
-			Expect(s.least()).To(Equal(295), "seed %d", seed)
-			Expect(s.crossing).To(BeNumerically("<", 2_000_000), "bytes of datagrams between data centres, seed %d", seed)
-			Expect(s.lists).To(BeNumerically("<", 1_000_000), "bytes of lists between regions, seed %d", seed)
+			Expect(s.minKnown()).To(Equal(295), "seed %d", seed)
+			Expect(s.remoteBytes).To(BeNumerically("<", 2_000_000), "bytes of datagrams between data centres, seed %d", seed)
+			Expect(s.listBytes).To(BeNumerically("<", 1_000_000), "bytes of lists between regions, seed %d", seed)
 		}
 	})
 })
