--- a/internal/logring/classes.go
+++ b/internal/logring/classes.go
@@ -5,44 +5,44 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// TimeLayout is how lines tell the time, in the field ts.
+// TimeLayout is the layout of the timestamp in the field ts.
 const TimeLayout = "2006-01-02T15:04:05.000Z0700"
 
-// Class is how much a line matters when not all can be kept.
+// Class is the importance of a line, which decides what is dropped first under load.
 type Class int
 
 // Classes, from the most to the least important.
 const (
-	// Change is a line on what the process believes or does: starts, stops,
-	// dependencies, members, revisions, states of upstreams.
+	// Change is a line about the state of the process: starts, stops,
+	// dependencies, members, revisions, upstream states.
 	Change Class = iota
-	// Failure is a line on a request that did not end as its contract promises.
+	// Failure is a line about a request that did not end as its contract promises.
 	Failure
-	// Sample is a line on a request that went well.
+	// Sample is a line about a successful request.
 	Sample
-	classes
+	numClasses
 )
 
-// String is the class's name in logs and metrics.
+// String returns the name of the class in logs and metrics.
 func (c Class) String() string { return [...]string{"change", "failure", "sample"}[c] }
 
-// reserve is the part of the budget and of the buffer that lines of a class leave
-// to more important ones. In a storm of failures the line that names its cause,
-// a lost member or a slow upstream, would otherwise be among those left out.
-var reserve = [classes]float64{Change: 0, Failure: 0.25, Sample: 0.75}
+// reservedFraction is the fraction of the rate limit and of the buffer that lines of a class
+// leave free for more important ones. Without it, a burst of failures would crowd
+// out the line that names its cause, such as a lost member or a slow upstream.
+var reservedFraction = [numClasses]float64{Change: 0, Failure: 0.25, Sample: 0.75}
 
-// RequestEnded is the message of the line that tells how a request ended; tools that read
-// logs look for it.
+// RequestEnded is the message of the line that records the result of a request.
+// Tools that read the logs match it.
 const RequestEnded = "edge: request ended"
 
-// Loggers writes lines of each class to one ring.
+// Loggers holds one logger per class.
 type Loggers struct {
 	Changes  *zap.Logger
 	Failures *zap.Logger
 	Samples  *zap.Logger
 }
 
-// Loggers are the loggers that write to the ring.
+// Loggers returns loggers that write to the ring.
 func (r *Ring) Loggers() Loggers {
 	return Loggers{
 		Changes:  r.logger(Change),
@@ -51,7 +51,7 @@
 	}
 }
 
-// Nop are loggers that write nothing.
+// Nop returns loggers that discard all lines.
 func Nop() Loggers {
 	return Loggers{zap.NewNop(), zap.NewNop(), zap.NewNop()}
 }
@@ -60,21 +60,21 @@
 	c := zap.NewProductionEncoderConfig()
 	c.EncodeTime = zapcore.TimeEncoderOfLayout(TimeLayout)
 	c.EncodeDuration = zapcore.MillisDurationEncoder
-	core := zapcore.NewCore(zapcore.NewJSONEncoder(c), writer{r, class}, zapcore.InfoLevel)
+	core := zapcore.NewCore(zapcore.NewJSONEncoder(c), classWriter{r, class}, zapcore.InfoLevel)
 	return zap.New(core).With(zap.String("vm", r.vm))
 }
 
-// writer is a zapcore.WriteSyncer for lines of one class.
-type writer struct {
+// classWriter is a zapcore.WriteSyncer that adds lines of one class to a ring.
+type classWriter struct {
 	ring  *Ring
 	class Class
 }
 
-// Write implements io.Writer. It copies the line or drops it, and never fails.
-func (w writer) Write(line []byte) (int, error) {
+// Write implements io.Writer. It copies or drops the line and always reports success.
+func (w classWriter) Write(line []byte) (int, error) {
 	w.ring.add(w.class, line)
 	return len(line), nil
 }
 
-// Sync implements zapcore.WriteSyncer; lines are written by Run.
-func (w writer) Sync() error { return nil }
+// Sync implements zapcore.WriteSyncer. It does nothing: Run writes the lines.
+func (w classWriter) Sync() error { return nil }
--- a/internal/logring/logring.go
+++ b/internal/logring/logring.go
@@ -1,7 +1,8 @@
-// Package logring writes log lines without ever making their writer wait: lines
-// go into a bounded buffer that one goroutine empties. What does not fit, or is
-// over the budget of bytes a second, is dropped and counted, the least important
-// first, and a line says how many of each class were.
+// Package logring provides a non-blocking log sink. Lines are copied into a bounded
+// buffer that one goroutine writes to the output. A line that does not fit into
+// the buffer, or that exceeds the rate limit in bytes per second, is dropped. The
+// least important lines are dropped first, and a summary line reports the number
+// of dropped lines of each class.
 package logring
 
 import (
@@ -15,47 +16,53 @@
 )
 
 const (
-	// bufferBytes bounds what waits to be written: a second at the full rate.
-	bufferBytes = 64 << 10
-	// bytesPerSecond bounds the volume: about 200 lines a second.
+	// maxBufferBytes limits the size of the buffer: one second at the full rate.
+	maxBufferBytes = 64 << 10
+	// bytesPerSecond is the rate limit, about 200 lines per second.
 	bytesPerSecond = 64 << 10
-	// writeBytes bounds one write to the output: a pipe takes as much at once or
-	// not at all, so that lines of several writers do not mix, and collectors that
-	// read in small pieces lose nothing of a long one.
-	writeBytes = 4 << 10
-	// flushEvery is how often what waits is written, in one call.
-	flushEvery = 250 * time.Millisecond
+	// maxWriteBytes limits one write to the output. A write of this size to a pipe is
+	// atomic, so lines of several processes do not interleave, and log collectors
+	// that read only part of a long write lose no lines.
+	maxWriteBytes = 4 << 10
+	// flushInterval is the interval at which Run flushes the buffer.
+	flushInterval = 250 * time.Millisecond
 )
 
-// Ring holds lines until they are written. It is safe for concurrent use.
+// Ring buffers log lines until they are written. Its methods are safe for
+// concurrent use, except that only one goroutine may call Run or Flush at a time.
 type Ring struct {
 	vm      string
 	out     io.Writer
 	now     func() time.Time
-	dropped [classes]atomic.Uint64
-	// told is what of dropped a line has told; only Flush uses it.
-	told [classes]uint64
+	dropped [numClasses]atomic.Uint64
+	// reported holds the counts of dropped that summary lines have already
+	// reported. Only Flush uses it.
+	reported [numClasses]uint64
 
-	mu     sync.Mutex
-	buf    []byte
-	spare  []byte
-	tokens float64
-	last   time.Time
+	// mu guards the fields below.
+	mu  sync.Mutex
+	buf []byte
+	// spare is the previously flushed buffer, kept for reuse.
+	spare []byte
+	// tokens is the number of bytes that may be added now.
+	tokens     float64
+	lastRefill time.Time
 }
 
-// New is an empty ring before out, for the process of a VM.
+// New returns an empty ring that writes to out. vm is the VM name that every line
+// carries.
 func New(vm string, out io.Writer, now func() time.Time) *Ring {
-	return &Ring{vm: vm, out: out, now: now, tokens: bytesPerSecond, last: now()}
+	return &Ring{vm: vm, out: out, now: now, tokens: bytesPerSecond, lastRefill: now()}
 }
 
-// add copies a line or drops it.
+// add copies a line into the buffer, or drops and counts it.
 func (r *Ring) add(class Class, line []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refill()
-	kept := 1 - reserve[class]
-	full := float64(len(r.buf)+len(line)) > bufferBytes*kept
-	if full || r.tokens-float64(len(line)) < bytesPerSecond*reserve[class] {
+	usable := 1 - reservedFraction[class]
+	full := float64(len(r.buf)+len(line)) > maxBufferBytes*usable
+	if full || r.tokens-float64(len(line)) < bytesPerSecond*reservedFraction[class] {
 		r.dropped[class].Add(1)
 		return
 	}
@@ -63,12 +70,13 @@
 	r.buf = append(r.buf, line...)
 }
 
-// Dropped is how many lines of a class were left out so far.
+// Dropped returns the number of lines of a class dropped so far.
 func (r *Ring) Dropped(class Class) uint64 { return r.dropped[class].Load() }
 
-// Run writes until ctx ends, then writes what is left.
+// Run flushes the buffer periodically until ctx is done, then flushes it once more.
+// It returns the error of that last flush.
 func (r *Ring) Run(ctx context.Context) error {
-	t := time.NewTicker(flushEvery)
+	t := time.NewTicker(flushInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -76,22 +84,23 @@
 			return r.Flush()
 		case <-t.C:
 			if err := r.Flush(); err != nil {
-				// Nobody reads the output any more: lines are dropped once the
-				// buffer is full, and counted.
+				// Keep running, the output may recover. The lines of a failed write
+				// are lost uncounted. While a write blocks, new lines are dropped
+				// and counted once the buffer is full.
 				continue
 			}
 		}
 	}
 }
 
-// Flush writes what waits.
+// Flush writes the buffered lines, followed by the summary lines on dropped lines.
 func (r *Ring) Flush() error {
 	r.mu.Lock()
 	buf := r.buf
 	r.buf = r.spare[:0]
 	r.spare = nil
 	r.mu.Unlock()
-	buf = r.tellDropped(buf)
+	buf = r.appendDropped(buf)
 	err := r.write(buf)
 	r.mu.Lock()
 	r.spare = buf[:0]
@@ -99,12 +108,13 @@
 	return err
 }
 
-// write writes whole lines, as many at a time as writeBytes holds, at least one.
+// write writes whole lines, as many per call as fit into maxWriteBytes. A line longer
+// than that is written in one call.
 func (r *Ring) write(lines []byte) error {
 	for len(lines) > 0 {
 		n := len(lines)
-		if n > writeBytes {
-			n = bytes.LastIndexByte(lines[:writeBytes], '\n') + 1
+		if n > maxWriteBytes {
+			n = bytes.LastIndexByte(lines[:maxWriteBytes], '\n') + 1
 		}
 		if n == 0 {
 			n = bytes.IndexByte(lines, '\n') + 1
@@ -117,23 +127,24 @@
 	return nil
 }
 
-// tellDropped appends a line for each class of which lines were left out since
-// the last one.
-func (r *Ring) tellDropped(buf []byte) []byte {
-	for class := range classes {
+// appendDropped appends a summary line for each class that has dropped lines which
+// no earlier summary line reported.
+func (r *Ring) appendDropped(buf []byte) []byte {
+	for class := range numClasses {
 		dropped := r.Dropped(class)
-		if dropped == r.told[class] {
+		if dropped == r.reported[class] {
 			continue
 		}
 		buf = fmt.Appendf(buf, `{"level":"warn","ts":%q,"msg":"log: lines left out","vm":%q,"class":%q,"count":%d}`+"\n",
-			r.now().Format(TimeLayout), r.vm, class, dropped-r.told[class])
-		r.told[class] = dropped
+			r.now().Format(TimeLayout), r.vm, class, dropped-r.reported[class])
+		r.reported[class] = dropped
 	}
 	return buf
 }
 
+// refill adds the tokens for the time since the last refill.
 func (r *Ring) refill() {
 	now := r.now()
-	r.tokens = min(r.tokens+bytesPerSecond*max(0, now.Sub(r.last).Seconds()), bytesPerSecond)
-	r.last = now
+	r.tokens = min(r.tokens+bytesPerSecond*max(0, now.Sub(r.lastRefill).Seconds()), bytesPerSecond)
+	r.lastRefill = now
 }
--- a/internal/logring/logring_test.go
+++ b/internal/logring/logring_test.go
@@ -11,10 +11,10 @@
 	"go.uber.org/zap"
 )
 
-// stuck is an output that nobody reads.
-type stuck struct{ entered, release chan struct{} }
+// blockedWriter is an output whose writes block until release is closed.
+type blockedWriter struct{ entered, release chan struct{} }
 
-func (s stuck) Write(b []byte) (int, error) {
+func (s blockedWriter) Write(b []byte) (int, error) {
 	select {
 	case s.entered <- struct{}{}:
 	default:
@@ -23,15 +23,14 @@
 	return len(b), nil
 }
 
-// Symptom: requests stand still when whoever collects the logs stops reading.
-// Sequence: the pipe fills up, the write of a line blocks, with it the request.
-// Cause: lines were written where they were made.
-func TestAReaderThatStopsHoldsNobodyUp(t *testing.T) {
-	out := stuck{make(chan struct{}, 1), make(chan struct{})}
+// Guards against requests that hang when the log collector stops reading: the pipe
+// fills up, and a request that writes its own log line blocks in that write.
+func TestWriteDoesNotBlockOnStalledOutput(t *testing.T) {
+	out := blockedWriter{make(chan struct{}, 1), make(chan struct{})}
 	now := time.Unix(1000, 0)
 	r := New("v", out, func() time.Time { return now })
 	line := []byte(strings.Repeat("x", 1023) + "\n")
-	if _, err := change(r).Write(line); err != nil {
+	if _, err := changeWriter(r).Write(line); err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan error, 1)
@@ -39,12 +38,12 @@
 	<-out.entered
 	for range 1000 {
 		now = now.Add(time.Millisecond)
-		if n, err := change(r).Write(line); n != len(line) || err != nil {
+		if n, err := changeWriter(r).Write(line); n != len(line) || err != nil {
 			t.Fatalf("write %d, %v", n, err)
 		}
 	}
 	if r.Dropped(Change) == 0 {
-		t.Error("nothing was left out, so the buffer has no bound")
+		t.Error("no line was dropped, so the buffer is unbounded")
 	}
 	close(out.release)
 	if err := <-done; err != nil {
@@ -52,13 +51,13 @@
 	}
 }
 
-func TestLinesLeftOutAreCounted(t *testing.T) {
+func TestDroppedLinesAreReported(t *testing.T) {
 	var out bytes.Buffer
 	now := time.Unix(1000, 0)
 	r := New("v", &out, func() time.Time { return now })
 	line := []byte(strings.Repeat("x", 1023) + "\n")
 	for range 2 * bytesPerSecond / len(line) {
-		if _, err := change(r).Write(line); err != nil {
+		if _, err := changeWriter(r).Write(line); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -66,11 +65,11 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(out.String(), `"msg":"log: lines left out","vm":"v","class":"change","count":64`) {
-		t.Errorf("no word of the lines left out: %.80s", out.String()[out.Len()-80:])
+		t.Errorf("no summary line on dropped lines: %.80s", out.String()[out.Len()-80:])
 	}
 	out.Reset()
 	now = now.Add(time.Second)
-	if _, err := change(r).Write(line); err != nil {
+	if _, err := changeWriter(r).Write(line); err != nil {
 		t.Fatal(err)
 	}
 	if err := r.Flush(); err != nil || out.String() != string(line) {
@@ -78,11 +77,10 @@
 	}
 }
 
-// Symptom: the log of a bad minute does not name its cause.
-// Sequence: an upstream stops; thousands of requests fail and each writes a
-// line; the line on the upstream comes when the budget is used up.
-// Cause: lines were kept in the order in which they came.
-func TestStormsOfFailuresLeaveRoomForChanges(t *testing.T) {
+// Guards against logs that omit the cause of an outage: an upstream stops, thousands
+// of requests fail, and each writes a line. If lines were kept in order of arrival,
+// these would use up the rate limit before the line about the upstream is written.
+func TestFailureBurstKeepsChangeLines(t *testing.T) {
 	var out bytes.Buffer
 	now := time.Unix(1000, 0)
 	r := New("v", &out, func() time.Time { return now })
@@ -105,7 +103,7 @@
 		t.Errorf("kept %v", got)
 	}
 	if r.Dropped(Change) != 0 || int(r.Dropped(Failure)) != 1000-got["failed"] || int(r.Dropped(Sample)) != 1000-got["answered"] {
-		t.Errorf("left out: %d, %d, %d of %v", r.Dropped(Change), r.Dropped(Failure), r.Dropped(Sample), got)
+		t.Errorf("dropped %d, %d, %d; kept %v", r.Dropped(Change), r.Dropped(Failure), r.Dropped(Sample), got)
 	}
 	for _, class := range []Class{Failure, Sample} {
 		if want := fmt.Sprintf(`"class":%q,"count":%d`, class, r.Dropped(class)); !strings.Contains(out.String(), want) {
@@ -114,22 +112,21 @@
 	}
 }
 
-// pieces keeps what each write brought.
-type pieces [][]byte
+// writeRecorder records the bytes of each write.
+type writeRecorder [][]byte
 
-func (p *pieces) Write(b []byte) (int, error) {
+func (p *writeRecorder) Write(b []byte) (int, error) {
 	*p = append(*p, bytes.Clone(b))
 	return len(b), nil
 }
 
-// Symptom: refused requests have no line, though none was left out.
-// Sequence: many lines are written in a quarter of a second; whoever collects them
-// takes eight kilobytes of each write.
-// Cause: all that had gathered was written in one piece.
-func TestLinesAreWrittenInPiecesOfWholeLines(t *testing.T) {
-	var out pieces
+// Guards against lines that get lost although none was counted as dropped: many
+// lines gather between two flushes, a quarter of a second apart, and the log collector
+// takes only eight kilobytes of each write. One write of the whole buffer loses the rest.
+func TestFlushSplitsWritesAtLineEnds(t *testing.T) {
+	var out writeRecorder
 	r := New("v", &out, time.Now)
-	long := strings.Repeat("y", writeBytes) + "\n"
+	long := strings.Repeat("y", maxWriteBytes) + "\n"
 	var want string
 	for i := range 100 {
 		line := strings.Repeat("x", 10*i) + "\n"
@@ -137,7 +134,7 @@
 			line = long
 		}
 		want += line
-		if _, err := change(r).Write([]byte(line)); err != nil {
+		if _, err := changeWriter(r).Write([]byte(line)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -146,22 +143,22 @@
 	}
 	got := ""
 	for _, p := range out {
-		if len(p) > writeBytes && string(p) != long || p[len(p)-1] != '\n' {
-			t.Errorf("a piece of %d bytes that ends in %q", len(p), p[len(p)-1])
+		if len(p) > maxWriteBytes && string(p) != long || p[len(p)-1] != '\n' {
+			t.Errorf("write of %d bytes ends in %q", len(p), p[len(p)-1])
 		}
 		got += string(p)
 	}
 	if got != want {
-		t.Errorf("%d bytes were written of %d", len(got), len(want))
+		t.Errorf("wrote %d of %d bytes", len(got), len(want))
 	}
 }
 
-func TestRunWritesWhatIsLeft(t *testing.T) {
+func TestRunFlushesOnCancel(t *testing.T) {
 	var out bytes.Buffer
 	r := New("v", &out, time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, err := change(r).Write([]byte("last\n")); err != nil {
+	if _, err := changeWriter(r).Write([]byte("last\n")); err != nil {
 		t.Fatal(err)
 	}
 	if err := r.Run(ctx); err != nil || out.String() != "last\n" {
@@ -174,11 +171,11 @@
 	line := []byte(strings.Repeat("x", 255) + "\n")
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := change(r).Write(line); err != nil {
+		if _, err := changeWriter(r).Write(line); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// change writes lines of the most important class.
-func change(r *Ring) writer { return writer{r, Change} }
+// changeWriter returns a writer for lines of the most important class.
+func changeWriter(r *Ring) classWriter { return classWriter{r, Change} }
