--- a/internal/peerauth/peerauth.go
+++ b/internal/peerauth/peerauth.go
@@ -1,11 +1,11 @@
-// Package peerauth lets only daemons of this fleet exchange streams: mutual TLS
-// whose authorities follow from the shared peer keys in the settings, so that
-// there are no certificate files to hand out and nothing to renew. It must not
-// log or return a secret.
+// Package peerauth authenticates streams between the daemons of a fleet with mutual
+// TLS. The certificate authorities are derived from the shared peer keys in the
+// settings, so no certificate files are distributed or renewed. The package must
+// not log or return a secret.
 //
-// Whoever holds a peer key can name itself as any VM; the names in the
-// certificates guard against mistakes, such as a replaced VM's address in an
-// old list, and not against a stolen key.
+// A holder of a peer key can issue a certificate for any VM name. The names protect
+// against mistakes, such as an old list with the address of a replaced VM, but not
+// against a stolen key.
 package peerauth
 
 import (
@@ -26,36 +26,40 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// handshakeTimeout bounds connecting and the handshake: a connection that says
-// nothing must not hold this VM's memory.
+// handshakeTimeout limits connecting and the TLS handshake, so that silent
+// connections do not hold memory.
 const handshakeTimeout = 2 * time.Second
 
-// purpose keeps the authority's key apart from the other uses of a peer key.
-const purpose = "sycamorekeel peer authority v1"
+// hkdfInfo separates the key of the authority from other keys derived from the same
+// peer key.
+const hkdfInfo = "sycamorekeel peer authority v1"
 
-// Certificates are valid at any time: clocks differ between VMs, keys are
-// withdrawn by taking them out of the settings, and leaves die with the process.
+// Certificates do not expire in practice: the clocks of VMs differ, a key is revoked
+// by its removal from the settings, and the private key of a VM's certificate exists
+// only as long as its process.
 var (
 	validFrom  = time.Date(2000, time.January, 1, 0, 0, 0, 0, time.UTC)
 	validUntil = time.Date(9999, time.December, 31, 0, 0, 0, 0, time.UTC)
 )
 
-// Authority issues this VM's certificate and accepts those of its peers.
+// Authority holds the certificate of this VM and the root certificates that verify
+// its peers.
 type Authority struct {
 	certificate tls.Certificate
 	roots       *x509.CertPool
 }
 
-// New derives an authority from each key. The first one signs this VM's
-// certificate, peers may use any, so that a key is replaced without a stop: add
-// the new key second on every VM, then put it first, then take the old one out.
+// New derives a root certificate from each key. The first key signs the certificate
+// of this VM; certificates of peers may be signed with any of the keys. A key is
+// replaced without downtime in three steps: add the new key second on every VM,
+// then move it first, then remove the old one.
 func New(vm string, keys []*pb.PeerKey) (*Authority, error) {
 	if len(keys) == 0 {
 		return nil, trace.BadParameter("peerauth: no peer key")
 	}
 	a := &Authority{roots: x509.NewCertPool()}
 	for i, k := range keys {
-		root, signer, err := derive(k.Secret)
+		root, signer, err := deriveRoot(k.Secret)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
@@ -63,7 +67,7 @@
 		if i > 0 {
 			continue
 		}
-		a.certificate, err = issue(vm, root, signer)
+		a.certificate, err = issueCertificate(vm, root, signer)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
@@ -71,9 +75,10 @@
 	return a, nil
 }
 
-// derive makes the authority of a key: the same one on every VM.
-func derive(secret string) (*x509.Certificate, ed25519.PrivateKey, error) {
-	seed, err := hkdf.Key(sha256.New, []byte(secret), nil, purpose, ed25519.SeedSize)
+// deriveRoot derives the root certificate and its private key from a secret. The same
+// secret yields the same key on every VM.
+func deriveRoot(secret string) (*x509.Certificate, ed25519.PrivateKey, error) {
+	seed, err := hkdf.Key(sha256.New, []byte(secret), nil, hkdfInfo, ed25519.SeedSize)
 	if err != nil {
 		return nil, nil, trace.Wrap(err)
 	}
@@ -95,9 +100,9 @@
 	return root, key, trace.Wrap(err)
 }
 
-// issue makes a certificate that names the VM, with a key that never leaves
-// this process.
-func issue(vm string, root *x509.Certificate, signer ed25519.PrivateKey) (tls.Certificate, error) {
+// issueCertificate issues a certificate for the VM with a new private key, which
+// never leaves this process.
+func issueCertificate(vm string, root *x509.Certificate, signer ed25519.PrivateKey) (tls.Certificate, error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		return tls.Certificate{}, trace.Wrap(err)
@@ -117,15 +122,16 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: private}, nil
 }
 
-// Dial opens a stream to the peer at address.
+// Dial opens an authenticated TLS connection to the peer at address.
 func (a *Authority) Dial(ctx context.Context, address string) (net.Conn, error) {
 	return a.Dialer(nil)(ctx, address)
 }
 
-// DialFunc opens a TCP connection to a peer address.
+// DialFunc opens a connection to a peer address.
 type DialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// Dialer opens streams over the connections of dial; nil dials plainly.
+// Dialer returns a DialFunc that opens authenticated TLS connections on top of those
+// of dial. If dial is nil, it dials TCP.
 func (a *Authority) Dialer(dial DialFunc) DialFunc {
 	if dial == nil {
 		dial = dialTCP
@@ -155,13 +161,14 @@
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{a.certificate},
-		// Peers are known by IP numbers that change: the chain is verified
-		// below, host names are not.
+		// Peers are addressed by IP addresses that change, so host names are
+		// not verified. VerifyConnection verifies the certificate instead.
 		InsecureSkipVerify: true,
 		VerifyConnection:   a.verifyServer,
 	}
 }
 
+// verifyServer checks that a root of the fleet signed the certificate of the server.
 func (a *Authority) verifyServer(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
 		return trace.AccessDenied("peerauth: the peer has no certificate")
@@ -173,7 +180,8 @@
 	return trace.Wrap(err)
 }
 
-// Listen accepts only peers that show a certificate of the fleet.
+// Listen wraps ln in a TLS listener whose connections require a client certificate
+// of the fleet.
 func (a *Authority) Listen(ln net.Listener) net.Listener {
 	return tls.NewListener(deadlineListener{ln}, &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -183,7 +191,8 @@
 	})
 }
 
-// serverConfig is for one connection: its deadline ends with the handshake.
+// serverConfig returns the TLS configuration for one connection. It clears the
+// deadline of conn once the peer is verified.
 func (a *Authority) serverConfig(conn net.Conn) *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
@@ -197,7 +206,7 @@
 	}
 }
 
-// deadlineListener gives each connection the time of one handshake.
+// deadlineListener sets the handshake deadline on each accepted connection.
 type deadlineListener struct{ net.Listener }
 
 // Accept implements net.Listener.
@@ -213,7 +222,8 @@
 	return conn, nil
 }
 
-// PeerName is the VM that the certificate of an authenticated connection names.
+// PeerName returns the VM name in the peer's certificate. It fails unless transport
+// is a *tls.Conn with a peer certificate.
 func PeerName(transport any) (string, error) {
 	conn, ok := transport.(*tls.Conn)
 	if !ok {
--- a/internal/peerauth/peerauth_test.go
+++ b/internal/peerauth/peerauth_test.go
@@ -20,6 +20,7 @@
 	RunSpecs(t, "Peer authentication")
 }
 
+// keys returns one peer key per letter, whose secret is the letter repeated.
 func keys(letters string) []*pb.PeerKey {
 	var out []*pb.PeerKey
 	for _, l := range letters {
@@ -34,30 +35,31 @@
 	return a
 }
 
-// exchange sends one word and tells which VM the server saw.
+// exchange sends one message over a new connection and returns the VM name that
+// the server reads from the client's certificate.
 func exchange(server *peerauth.Authority, dial func(address string) (net.Conn, error)) (string, error) {
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = raw.Close() }()
 	ln := server.Listen(raw)
-	type seen struct {
+	type outcome struct {
 		vm  string
 		err error
 	}
-	result := make(chan seen, 1)
+	result := make(chan outcome, 1)
 	go func() {
 		conn, err := ln.Accept()
 		if err != nil {
-			result <- seen{err: err}
+			result <- outcome{err: err}
 			return
 		}
 		defer func() { _ = conn.Close() }()
 		if _, err := conn.Read(make([]byte, 5)); err != nil {
-			result <- seen{err: err}
+			result <- outcome{err: err}
 			return
 		}
 		vm, err := peerauth.PeerName(conn)
-		result <- seen{vm: vm, err: err}
+		result <- outcome{vm: vm, err: err}
 	}()
 	conn, err := dial(raw.Addr().String())
 	if err == nil {
@@ -76,21 +78,20 @@
 }
 
 var _ = Describe("streams between daemons", func() {
-	// Symptom: peers lose each other while the operators replace a key.
-	// Sequence: the VMs take on the new settings one after the other.
-	// Cause: only one key is accepted at a time.
-	DescribeTable("are let in at each step of a key's replacement",
-		func(dialler, listener string) {
-			vm, err := exchange(authority("vm-b", listener), dialAs(authority("vm-a", dialler)))
+	// Guards against peers that reject each other during a key replacement: VMs load
+	// the new settings one after the other, and must accept more than one key.
+	DescribeTable("are accepted at each step of a key replacement",
+		func(dialer, listener string) {
+			vm, err := exchange(authority("vm-b", listener), dialAs(authority("vm-a", dialer)))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(vm).To(Equal("vm-a"))
 		},
 		Entry("one key", "o", "o"),
 		Entry("the new key added second", "o", "on"),
-		Entry("added on the dialling side first", "on", "o"),
+		Entry("the new key added on the dialing side first", "on", "o"),
 		Entry("the new key signs", "no", "on"),
 		Entry("the old key still signs", "on", "no"),
-		Entry("the old key taken out", "n", "no"),
+		Entry("the old key removed", "n", "no"),
 	)
 
 	DescribeTable("are refused",
@@ -98,7 +99,7 @@
 			_, err := exchange(authority("vm-b", "on"), dial)
 			Expect(err).To(HaveOccurred())
 		},
-		Entry("with a key of another fleet", dialAs(must("vm-a", "x"))),
+		Entry("with a key of another fleet", dialAs(mustAuthority("vm-a", "x"))),
 		Entry("with no certificate", func(address string) (net.Conn, error) {
 			return tls.Dial("tcp", address, &tls.Config{InsecureSkipVerify: true})
 		}),
@@ -108,12 +109,12 @@
 		Entry("in plain text", func(address string) (net.Conn, error) { return net.Dial("tcp", address) }),
 	)
 
-	It("are refused by a dialler whose peer has a key of another fleet", func() {
+	It("are refused by a dialer whose peer has a key of another fleet", func() {
 		_, err := exchange(authority("vm-b", "x"), dialAs(authority("vm-a", "on")))
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("need a key, and errors show none", func() {
+	It("require a key, and errors do not reveal secrets", func() {
 		_, err := peerauth.New("vm-a", nil)
 		Expect(err).To(HaveOccurred())
 		_, err = exchange(authority("vm-b", "x"), dialAs(authority("vm-a", "o")))
@@ -122,7 +123,8 @@
 	})
 })
 
-func must(vm, letters string) *peerauth.Authority {
+// mustAuthority is like authority but panics on errors, for use outside of specs.
+func mustAuthority(vm, letters string) *peerauth.Authority {
 	a, err := peerauth.New(vm, keys(letters))
 	if err != nil {
 		panic(err)
@@ -130,9 +132,10 @@
 	return a
 }
 
-// BenchmarkHandshake is one connection with both sides' work, on loopback.
+// BenchmarkHandshake measures one connection on loopback, including the work of both
+// sides.
 func BenchmarkHandshake(b *testing.B) {
-	a := must("vm-a", "on")
+	a := mustAuthority("vm-a", "on")
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
