--- a/internal/pause/gap.go
+++ b/internal/pause/gap.go
@@ -1,12 +1,12 @@
-// Package pause measures how long a process did not run.
+// Package pause detects pauses of the process, such as a suspended VM.
 package pause
 
 import "time"
 
-// Gap is how far two readings of the clock are apart, by the monotonic or the
-// wall clock, whichever shows more. A monotonic clock may stand still while a
-// VM is suspended: by it alone the process would not notice that it was away
-// and would act on what it knew before.
+// Gap returns the time between two clock readings, by the monotonic or the wall
+// clock, whichever shows more. The monotonic clock may stop while a VM is
+// suspended. By that clock alone, the process would not notice the pause and would
+// act on outdated state.
 func Gap(before, after time.Time) time.Duration {
 	return max(after.Sub(before), after.Round(0).Sub(before.Round(0)))
 }
