--- a/internal/logring/logring_test.go
+++ b/internal/logring/logring_test.go
@@ -14,12 +14,12 @@
 // blockedWriter is an output whose writes block until release is closed.
 type blockedWriter struct{ entered, release chan struct{} }
 
-func (s blockedWriter) Write(b []byte) (int, error) {
+func (w blockedWriter) Write(b []byte) (int, error) {
 	select {
-	case s.entered <- struct{}{}:
+	case w.entered <- struct{}{}:
 	default:
 	}
-	<-s.release
+	<-w.release
 	return len(b), nil
 }
 
@@ -115,8 +115,8 @@
 // writeRecorder records the bytes of each write.
 type writeRecorder [][]byte
 
-func (p *writeRecorder) Write(b []byte) (int, error) {
-	*p = append(*p, bytes.Clone(b))
+func (w *writeRecorder) Write(b []byte) (int, error) {
+	*w = append(*w, bytes.Clone(b))
 	return len(b), nil
 }
 
--- a/internal/peerauth/peerauth_test.go
+++ b/internal/peerauth/peerauth_test.go
@@ -88,7 +88,7 @@
 		},
 		Entry("one key", "o", "o"),
 		Entry("the new key added second", "o", "on"),
-		Entry("the new key added on the dialing side first", "on", "o"),
+		Entry("the new key added on the dialling side first", "on", "o"),
 		Entry("the new key signs", "no", "on"),
 		Entry("the old key still signs", "on", "no"),
 		Entry("the old key removed", "n", "no"),
@@ -109,7 +109,7 @@
 		Entry("in plain text", func(address string) (net.Conn, error) { return net.Dial("tcp", address) }),
 	)
 
-	It("are refused by a dialer whose peer has a key of another fleet", func() {
+	It("are refused by a dialler whose peer has a key of another fleet", func() {
 		_, err := exchange(authority("vm-b", "x"), dialAs(authority("vm-a", "on")))
 		Expect(err).To(HaveOccurred())
 	})
