--- a/internal/router/direct.go
+++ b/internal/router/direct.go
@@ -2,9 +2,10 @@
 
 import "math/rand/v2"
 
-// lessLoaded is the less loaded of two replicas drawn at random, by what is open
-// from this VM: the rule of the baseline.
-func lessLoaded(list []candidate) int {
+// lessLoadedOfTwo draws two replicas at random and returns the index of the one
+// with fewer sub-requests open from this VM. The baseline mode (Options.Direct)
+// uses it.
+func lessLoadedOfTwo(list []candidate) int {
 	first := rand.IntN(len(list))
 	if len(list) == 1 {
 		return list[0].index
--- a/internal/router/pin.go
+++ b/internal/router/pin.go
@@ -9,18 +9,18 @@
 	"sycamorekeel.example/sycamorekeel/internal/readiness"
 )
 
-// pinTTL is how long a choice is used while nothing new is learned: beliefs
-// expire without an event.
+// pinTTL limits how long a cached choice is used when no new status arrives:
+// readiness information expires without an event.
 const pinTTL = 100 * time.Millisecond
 
-// pin is the choice of a service's snapshot, kept so that a query does not look
-// at every replica of every shard.
-type pin struct {
-	current atomic.Pointer[pinned]
+// pinCache holds the last snapshot choice of a service, so that a query need not
+// examine every replica of every shard.
+type pinCache struct {
+	current atomic.Pointer[cachedChoice]
 }
 
-// pinned is a choice and what it holds for.
-type pinned struct {
+// cachedChoice is a snapshot choice with the inputs and the time it is valid for.
+type cachedChoice struct {
 	service *contract.Service
 	changes uint64
 	until   time.Time
@@ -28,29 +28,35 @@
 	ok      bool
 }
 
-// Pin is the newest snapshot for which every shard has a replica that serves.
+// Pin returns the newest snapshot for which every shard has a serving replica, or
+// the one that covers most if there is none. The last result is false when no
+// replica serves any snapshot.
 func (r *Router) Pin(now time.Time, s *contract.Service) (*contract.ShardMap, *pb.Snapshot, bool) {
-	c, ok := r.pinned(now, s)
+	c, ok := r.snapshotChoice(now, s)
 	return c.Map, c.Snapshot, ok
 }
 
-// Repin is a snapshot other than the retired one that every shard serves.
+// Repin returns a snapshot that every shard serves and that differs from the
+// retired one. The last result is false when there is none.
 func (r *Router) Repin(now time.Time, s *contract.Service, retired *pb.Snapshot) (*contract.ShardMap, *pb.Snapshot, bool) {
-	c, ok := r.pinned(now, s)
+	c, ok := r.snapshotChoice(now, s)
 	if !ok || !c.Whole || readiness.KeyOf(c.Snapshot) == readiness.KeyOf(retired) {
 		return nil, nil, false
 	}
 	return c.Map, c.Snapshot, true
 }
 
-func (r *Router) pinned(now time.Time, s *contract.Service) (readiness.Choice, bool) {
-	p := r.pin(s.Name)
-	// Read before choosing: what is learned meanwhile makes the choice stale.
+// snapshotChoice returns the cached choice of the service and renews it when it
+// has expired, the service was republished or an upstream's readiness changed.
+func (r *Router) snapshotChoice(now time.Time, s *contract.Service) (readiness.Choice, bool) {
+	p := r.pinCache(s.Name)
+	// Load the counter before choosing, so that a change during the choice
+	// invalidates it.
 	changes := r.changes.Load()
 	if c := p.current.Load(); c != nil && c.service == s && c.changes == changes && now.Before(c.until) {
 		return c.choice, c.ok
 	}
-	c := &pinned{service: s, changes: changes, until: now.Add(pinTTL)}
+	c := &cachedChoice{service: s, changes: changes, until: now.Add(pinTTL)}
 	c.choice, c.ok = readiness.Choose(s, func(u *contract.Upstream, k readiness.Key) readiness.Fitness {
 		st := r.upstream(u.ID)
 		st.mu.Lock()
@@ -61,15 +67,15 @@
 	return c.choice, c.ok
 }
 
-func (r *Router) pin(service string) *pin {
+func (r *Router) pinCache(service string) *pinCache {
 	if p, ok := r.pins.Load(service); ok {
-		return p.(*pin)
+		return p.(*pinCache)
 	}
-	p, _ := r.pins.LoadOrStore(service, &pin{})
-	return p.(*pin)
+	p, _ := r.pins.LoadOrStore(service, &pinCache{})
+	return p.(*pinCache)
 }
 
-// Status learns what an owner has seen of an upstream.
+// Status records an upstream's status as reported by its owner.
 func (r *Router) Status(now time.Time, status *pb.UpstreamStatus) {
 	st := r.upstream(status.Upstream)
 	st.mu.Lock()
--- a/internal/router/replica.go
+++ b/internal/router/replica.go
@@ -16,160 +16,170 @@
 
 // Hedge delays.
 const (
-	// hedgeUnknown is the delay while nothing is known of the whole service.
-	hedgeUnknown = 50 * time.Millisecond
-	hedgeLeast   = time.Millisecond
-	// hedgeCap bounds an upstream's own delay by a multiple of its peers': one
-	// that is known to be slow is not waited for longer.
-	hedgeCap = 2
-	// hedgeEnough is the weight of observations that a tail is read from.
-	hedgeEnough = 8
-	// tailEvery is how many observations a computed tail is used for.
-	tailEvery = 8
+	// defaultHedgeDelay is used while the service has too few observations.
+	defaultHedgeDelay = 50 * time.Millisecond
+	minHedgeDelay     = time.Millisecond
+	// maxPeerTailRatio limits an upstream's hedge delay to a multiple of its
+	// peers' tail, so that a known slow replica does not delay its hedges.
+	maxPeerTailRatio = 2
+	// minTailWeight is the weight of observations required to compute a tail.
+	minTailWeight = 8
+	// tailRefreshEvery is how many observations pass before a computed tail is
+	// computed again.
+	tailRefreshEvery = 8
 )
 
-// hedgeQuantiles are the tails a hedge may wait for, ascending.
+// hedgeQuantiles are the latency quantiles available as hedge delays, ascending.
 var hedgeQuantiles = [...]float64{0.95, 0.975, 0.99}
 
-// quantileIndex is a place in hedgeQuantiles.
+// quantileIndex is an index into hedgeQuantiles.
 type quantileIndex int
 
-// hedgeTail is the tail that a kind's hedges wait for: the earliest that on an
-// ordinary day uses at most half of the kind's budget. A hedge for each answer
-// beyond a quantile of 1 - budget would use all of it, and by the time a replica
-// stalls nothing would be left: noticed as a p99 of wide queries that no hedge
-// shortens.
-func hedgeTail(k *contract.Kind) quantileIndex {
+// hedgeQuantile returns the lowest quantile whose hedges use at most half of the
+// kind's budget under normal latencies, or the highest if there is none. Hedging at the quantile 1 - budget would
+// use up the whole budget and leave none for a replica that stalls: the p99 of
+// queries over many shards then rises and no hedge shortens it.
+func hedgeQuantile(k *contract.Kind) quantileIndex {
 	const percent, half = 100, 2
 	for i, q := range hedgeQuantiles {
-		if 1-q <= k.HedgePercent/percent/half+rounding {
+		if 1-q <= k.HedgePercent/percent/half+quantileTolerance {
 			return quantileIndex(i)
 		}
 	}
 	return quantileIndex(len(hedgeQuantiles) - 1)
 }
 
-// rounding of quantiles as floating-point numbers.
-const rounding = 1e-9
+// quantileTolerance absorbs floating-point rounding when quantiles are compared.
+const quantileTolerance = 1e-9
 
-// Exploration: a replica of which nothing was heard for a while gets one
-// sub-request, so that one that has recovered is found. Each trial that finds
-// it slow doubles the wait.
+// Exploration intervals. A replica that has not been used for the interval gets
+// one sub-request, so that a recovered replica is noticed. The interval doubles
+// each time the replica is found slow.
 const (
-	exploreLeast = 2 * time.Second
-	exploreMost  = 64 * time.Second
-	// exploreSlow is the multiple of the service's mean above which a replica
-	// counts as slow.
-	exploreSlow = 2
+	minExploreInterval = 2 * time.Second
+	maxExploreInterval = 64 * time.Second
+	// slowFactor is the multiple of the service's mean latency above which a
+	// replica counts as slow.
+	slowFactor = 2
 )
 
-// alike is the ratio of costs below which replicas take turns: the histogram
-// and the mean tell no finer difference.
-const alike = 1.2
+// tieRatio is the cost ratio up to which replicas count as equal and take turns.
+// The latency histogram and the mean do not resolve smaller differences.
+const tieRatio = 1.2
 
-// coldFactor is how much slower a cold replica is taken to be: it gets work when
-// the others are busy, or nothing was heard of it for a while.
-const coldFactor = 4
+// coldCostFactor is the assumed slowdown of a cold replica. Such a replica gets work
+// when the others are busy or when its exploration is due.
+const coldCostFactor = 4
 
-// maxReplicas is how many replicas of a shard are looked at; query.Want has a
+// maxReplicas is how many replicas of a shard are considered: query.Want has one
 // bit for each.
 const maxReplicas = 64
 
-// upstreamState is what this VM has learned of an upstream.
+// upstreamState holds the latency, load and readiness of an upstream as observed
+// from this VM.
 type upstreamState struct {
-	mu    sync.Mutex
-	times latency.Tracker
-	tail  tail
-	ready readiness.State
-	// open is the sub-requests outstanding from here; sent counts them all.
+	mu        sync.Mutex
+	latencies latency.Tracker
+	tail      tailQuantiles
+	ready     readiness.State
+	// open counts the sub-requests outstanding from this VM, sent all that were
+	// ever sent.
 	open int
 	sent uint64
-	// exploreAt is when it may be tried although it looks slow.
-	exploreAt    time.Time
-	exploreEvery time.Duration
+	// exploreAt is when the upstream may be explored although it looks slow.
+	exploreAt       time.Time
+	exploreInterval time.Duration
 }
 
-// tail is the computed hedge quantiles.
-type tail struct {
+// tailQuantiles caches the values of hedgeQuantiles for a latency tracker.
+type tailQuantiles struct {
 	values [len(hedgeQuantiles)]time.Duration
-	uses   int
+	// refreshIn is how many observations remain until values is computed again.
+	refreshIn int
 }
 
-// pool is the answer times of a service's upstreams together.
-type pool struct {
-	// slow is the time in ns above which an answer is slow, seen the answers so
-	// far; both are read without the lock.
-	slow atomic.Int64
-	seen atomic.Uint64
+// serviceLatency holds the answer times of all upstreams of a service.
+type serviceLatency struct {
+	// slowThreshold is the time in ns above which an answer is slow; answers
+	// counts the answers so far. Both are read without the lock.
+	slowThreshold atomic.Int64
+	answers       atomic.Uint64
 
-	mu    sync.Mutex
-	times latency.Tracker
-	tail  tail
+	mu        sync.Mutex
+	latencies latency.Tracker
+	tail      tailQuantiles
 }
 
-// Once a pool has seen poolWarm answers it takes one of poolSample in: more do
-// not make it truer, and every sub-request of the service would wait for its
-// lock.
+// After warmupAnswers answers, a service records only one answer in sampleEvery:
+// further samples add no accuracy, and every sub-request of the service would
+// wait for the lock.
 const (
-	poolWarm   = 64
-	poolSample = 8
+	warmupAnswers = 64
+	sampleEvery   = 8
 )
 
-// read is a tail quantile; ok is false while too little was observed.
-func (t *tail) read(now time.Time, times *latency.Tracker, q quantileIndex) (time.Duration, bool) {
-	if times.Weight(now) < hedgeEnough {
+// quantile returns the latency at hedgeQuantiles[q]. The second result is false
+// while there are too few observations.
+func (t *tailQuantiles) quantile(now time.Time, latencies *latency.Tracker, q quantileIndex) (time.Duration, bool) {
+	if latencies.Weight(now) < minTailWeight {
 		return 0, false
 	}
-	if t.uses == 0 {
+	if t.refreshIn == 0 {
 		for i, q := range hedgeQuantiles {
-			t.values[i] = max(times.Quantile(q), hedgeLeast)
+			t.values[i] = max(latencies.Quantile(q), minHedgeDelay)
 		}
-		t.uses = tailEvery
+		t.refreshIn = tailRefreshEvery
 	}
 	return t.values[q], true
 }
 
-func (t *tail) observed() {
-	t.uses = max(0, t.uses-1)
+// countObservation brings the next computation of the quantiles one observation
+// closer.
+func (t *tailQuantiles) countObservation() {
+	t.refreshIn = max(0, t.refreshIn-1)
 }
 
-// candidate is a replica under comparison.
+// candidate is a replica considered for a sub-request. Its cost is the mean latency
+// in ns times the sub-requests open, including the new one.
 type candidate struct {
-	index   int
-	cost    float64
-	open    int
-	sent    uint64
-	known   bool
-	explore bool
-	cold    bool
+	index      int
+	cost       float64
+	open       int
+	sent       uint64
+	known      bool
+	exploreDue bool
+	cold       bool
 }
 
-// Replica is the replica expected to answer first: the one with the least mean
-// time for each sub-request open from here. Those that are alike take turns. One
-// that is down is asked only when there is no other, one that drains or lacks
-// the snapshot never.
+// Replica returns the index of the replica with the lowest expected answer time:
+// mean latency times the sub-requests open from this VM, including the new one.
+// Replicas of similar cost take turns. A replica that is down is used only if there
+// is no other; one that is draining or lacks the snapshot is never used.
 func (r *Router) Replica(now time.Time, w query.Want) int {
-	var room [8]candidate
-	list := r.candidates(now, w, room[:0])
+	var buf [8]candidate
+	list := r.candidates(now, w, buf[:0])
 	if len(list) == 0 {
 		return query.NoReplica
 	}
 	if r.opts.Direct {
-		return lessLoaded(list)
+		return lessLoadedOfTwo(list)
 	}
-	return r.choose(list, w.Explore).index
+	return r.pickCheapest(list, w.Explore).index
 }
 
-// Opened notes that a sub-request goes to an upstream; Observe ends it.
+// Opened records that a sub-request is sent to an upstream. Observe ends
+// the attempt.
 func (r *Router) Opened(now time.Time, u *contract.Upstream) {
 	st := r.upstream(u.ID)
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.open++
 	st.sent++
-	st.sentTo(now)
+	st.scheduleExploration(now)
 }
 
+// candidates appends to list the replicas that may serve w. Replicas that are down
+// are included only if all usable ones are down.
 func (r *Router) candidates(now time.Time, w query.Want, list []candidate) []candidate {
 	key := readiness.KeyOf(w.Snapshot)
 	best := readiness.Down
@@ -193,9 +203,9 @@
 func (s *upstreamState) candidate(now time.Time, index int, key readiness.Key) (candidate, readiness.Fitness) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := candidate{index: index, open: s.open, sent: s.sent, known: s.times.Mean() > 0}
-	c.cost = float64(s.times.Mean()) * float64(s.open+1)
-	c.explore = !s.exploreAt.IsZero() && !now.Before(s.exploreAt)
+	c := candidate{index: index, open: s.open, sent: s.sent, known: s.latencies.Mean() > 0}
+	c.cost = float64(s.latencies.Mean()) * float64(s.open+1)
+	c.exploreDue = !s.exploreAt.IsZero() && !now.Before(s.exploreAt)
 	fitness := s.ready.Fitness(now, key)
 	if fitness == readiness.Cold {
 		c.cold = true
@@ -203,111 +213,115 @@
 	return c, fitness
 }
 
-// choose takes the least cost; an unknown replica costs as little as the best
-// known one for each sub-request open.
-func (r *Router) choose(list []candidate, explore bool) candidate {
-	least, turn := 0.0, r.turn
+// pickCheapest returns the candidate with the lowest cost, or one that is due for
+// exploration if explore is set. A replica without observations is costed like the
+// fastest known one. Candidates of similar cost take turns.
+func (r *Router) pickCheapest(list []candidate, explore bool) candidate {
+	minUnitCost, turn := 0.0, r.rotation
 	for i := range list {
 		turn += list[i].sent
-		if unit := list[i].cost / float64(list[i].open+1); list[i].known && (least == 0 || unit < least) {
-			least = unit
+		if unitCost := list[i].cost / float64(list[i].open+1); list[i].known && (minUnitCost == 0 || unitCost < minUnitCost) {
+			minUnitCost = unitCost
 		}
 	}
-	best := 0.0
+	minCost := 0.0
 	for i := range list {
 		if !list[i].known {
-			list[i].cost = max(least, 1) * float64(list[i].open+1)
+			list[i].cost = max(minUnitCost, 1) * float64(list[i].open+1)
 		}
 		if list[i].cold {
-			list[i].cost *= coldFactor
+			list[i].cost *= coldCostFactor
 		}
-		if i == 0 || list[i].cost < best {
-			best = list[i].cost
+		if i == 0 || list[i].cost < minCost {
+			minCost = list[i].cost
 		}
 	}
 	if explore {
 		for _, c := range list {
-			if c.explore && c.cost > alike*best {
+			if c.exploreDue && c.cost > tieRatio*minCost {
 				return c
 			}
 		}
 	}
-	equals := 0
+	ties := 0
 	for _, c := range list {
-		if c.cost <= alike*best {
-			list[equals] = c
-			equals++
+		if c.cost <= tieRatio*minCost {
+			list[ties] = c
+			ties++
 		}
 	}
-	return list[turn%uint64(equals)]
+	return list[turn%uint64(ties)]
 }
 
-// sentTo puts the next trial off. While it gets sub-requests an upstream needs
-// none; when one was due and this is it, the wait doubles until an answer shows
-// that it is fast.
-func (s *upstreamState) sentTo(now time.Time) {
+// scheduleExploration postpones the next exploration: an upstream that gets
+// sub-requests needs none. If an exploration was due, this sub-request is it, and
+// the interval doubles until an answer shows that the upstream is fast.
+func (s *upstreamState) scheduleExploration(now time.Time) {
 	switch {
-	case s.exploreEvery == 0:
-		s.exploreEvery = exploreLeast
+	case s.exploreInterval == 0:
+		s.exploreInterval = minExploreInterval
 	case !now.Before(s.exploreAt):
-		s.exploreEvery = min(exploreMost, 2*s.exploreEvery)
+		s.exploreInterval = min(maxExploreInterval, 2*s.exploreInterval)
 	}
-	s.exploreAt = now.Add(s.exploreEvery)
+	s.exploreAt = now.Add(s.exploreInterval)
 }
 
-// HedgeDelay is the tail of the replica's own answers, capped by that of its
-// peers; while it is unknown it is the tail of the peers: the shard's other
-// replicas, or else the service's upstreams together.
+// HedgeDelay returns the latency tail of the replica, limited by that of its peers.
+// If the replica has too few observations, it returns the peers' tail: that of the
+// shard's other replicas or else of the whole service. The second result is false
+// when neither is known and the default delay is returned.
 func (r *Router) HedgeDelay(now time.Time, k *contract.Kind, shard *contract.Shard, replica int) (time.Duration, bool) {
-	q := hedgeTail(k)
-	own, known := r.tailOf(now, shard.Replicas[replica], q)
-	peers, peersKnown := r.peersTail(now, shard, replica, q)
+	q := hedgeQuantile(k)
+	own, known := r.upstreamTail(now, shard.Replicas[replica], q)
+	peers, peersKnown := r.peerTail(now, shard, replica, q)
 	switch {
 	case known && peersKnown:
-		return min(own, hedgeCap*peers), true
+		return min(own, maxPeerTailRatio*peers), true
 	case known:
 		return own, true
 	case peersKnown:
 		return peers, true
 	default:
-		return hedgeUnknown, false
+		return defaultHedgeDelay, false
 	}
 }
 
-func (r *Router) tailOf(now time.Time, u *contract.Upstream, q quantileIndex) (time.Duration, bool) {
+func (r *Router) upstreamTail(now time.Time, u *contract.Upstream, q quantileIndex) (time.Duration, bool) {
 	st := r.upstream(u.ID)
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	return st.tail.read(now, &st.times, q)
+	return st.tail.quantile(now, &st.latencies, q)
 }
 
-// peersTail is the shortest tail of the shard's other replicas: a hedge would
-// be answered by it.
-func (r *Router) peersTail(now time.Time, shard *contract.Shard, replica int, q quantileIndex) (time.Duration, bool) {
-	least, ok := time.Duration(0), false
+// peerTail returns the lowest tail among the shard's other replicas, since the
+// fastest of them would answer a hedge. If none is known it returns the tail of the
+// whole service.
+func (r *Router) peerTail(now time.Time, shard *contract.Shard, replica int, q quantileIndex) (time.Duration, bool) {
+	lowest, ok := time.Duration(0), false
 	for i, u := range shard.Replicas {
 		if i == replica || u.Leaving {
 			continue
 		}
-		if d, known := r.tailOf(now, u, q); known && (!ok || d < least) {
-			least, ok = d, true
+		if d, known := r.upstreamTail(now, u, q); known && (!ok || d < lowest) {
+			lowest, ok = d, true
 		}
 	}
 	if ok {
-		return least, true
+		return lowest, true
 	}
-	p := r.pool(shard.Replicas[replica].Service)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.tail.read(now, &p.times, q)
+	service := r.serviceLatency(shard.Replicas[replica].Service)
+	service.mu.Lock()
+	defer service.mu.Unlock()
+	return service.tail.quantile(now, &service.latencies, q)
 }
 
-// Observe learns from the end of an attempt.
+// Observe records the end of an attempt. An attempt withdrawn without a reply
+// counts as a lower bound of the latency.
 func (r *Router) Observe(now time.Time, o query.Observation) {
 	answered := o.Reply != nil && o.Reply.Result == pb.Result_OK
 	slow := false
 	if answered {
-		slow = r.observePool(now, o)
+		slow = r.observeService(now, o)
 	}
 	st := r.upstream(o.Upstream.ID)
 	st.mu.Lock()
@@ -318,32 +332,33 @@
 	}
 	switch {
 	case answered:
-		st.times.Observe(now, o.Took)
-		st.tail.observed()
+		st.latencies.Observe(now, o.Took)
+		st.tail.countObservation()
 		if !slow {
-			st.exploreEvery = exploreLeast
+			st.exploreInterval = minExploreInterval
 		}
 	case o.Reply == nil:
-		st.times.ObserveAtLeast(now, o.Took)
-		st.tail.observed()
+		st.latencies.ObserveAtLeast(now, o.Took)
+		st.tail.countObservation()
 	}
 }
 
-// observePool adds an answer to its service's and tells whether it was slow.
-func (r *Router) observePool(now time.Time, o query.Observation) bool {
-	p := r.pool(o.Upstream.Service)
-	if n := p.seen.Add(1); n <= poolWarm || n%poolSample == 0 {
-		p.observe(now, o.Took)
+// observeService adds an answer to the latency of its service and reports whether
+// it was slow.
+func (r *Router) observeService(now time.Time, o query.Observation) bool {
+	service := r.serviceLatency(o.Upstream.Service)
+	if n := service.answers.Add(1); n <= warmupAnswers || n%sampleEvery == 0 {
+		service.observe(now, o.Took)
 	}
-	return int64(o.Took) > p.slow.Load()
+	return int64(o.Took) > service.slowThreshold.Load()
 }
 
-func (p *pool) observe(now time.Time, took time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.times.Observe(now, took)
-	p.tail.observed()
-	p.slow.Store(int64(exploreSlow * p.times.Mean()))
+func (s *serviceLatency) observe(now time.Time, took time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.latencies.Observe(now, took)
+	s.tail.countObservation()
+	s.slowThreshold.Store(int64(slowFactor * s.latencies.Mean()))
 }
 
 func (r *Router) upstream(id string) *upstreamState {
@@ -354,16 +369,17 @@
 	return st.(*upstreamState)
 }
 
-func (r *Router) pool(service string) *pool {
+func (r *Router) serviceLatency(service string) *serviceLatency {
 	if p, ok := r.services.Load(service); ok {
-		return p.(*pool)
+		return p.(*serviceLatency)
 	}
-	p, _ := r.services.LoadOrStore(service, &pool{})
-	return p.(*pool)
+	p, _ := r.services.LoadOrStore(service, &serviceLatency{})
+	return p.(*serviceLatency)
 }
 
-// turnOf starts the turns of each VM elsewhere, so that a fleet that knows
-// nothing does not send everything to each shard's first replica.
-func turnOf(vm string) uint64 {
+// initialRotation returns the first offset of the round robin, different for each
+// VM. Without it, VMs that have no observations yet would all send to each shard's first
+// replica.
+func initialRotation(vm string) uint64 {
 	return xxhash.Sum64String(vm)
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -11,7 +11,7 @@
 	"sycamorekeel.example/sycamorekeel/internal/query"
 )
 
-// peers records the frames by address; those in lost cannot be reached.
+// peers records sent frames by address; addresses in lost are unreachable.
 type peers struct {
 	frames map[string][]*pb.Frame
 	lost   map[string]bool
@@ -37,10 +37,9 @@
 	return &pb.Frame{Body: &pb.Frame_Request{Request: &pb.SubRequest{Id: 64, Upstream: u.ID}}}
 }
 
-// Symptom: a withdrawn sub-request keeps its slot at the upstream.
-// Sequence: it is sent to the owner, the upstream gets another owner, the
-// answer comes from elsewhere and the sub-request is withdrawn.
-// Cause: the owner was looked up again for the cancel.
+// Guards against a cancel that is sent to the current owner instead of the VM that
+// has the sub-request. The upstream changes owner between the sub-request and its
+// cancel; the sub-request then keeps its slot at the upstream.
 func TestCancelReachesTheVMItWasSentTo(t *testing.T) {
 	p := &peers{frames: map[string][]*pb.Frame{}}
 	r := New(Options{VM: "vm-0", Peers: p})
@@ -80,23 +79,23 @@
 	}
 }
 
-// Symptom: after a version is published every query restarts.
-// Sequence: the newest version is refused by all replicas of a shard.
-// Cause: what the refusals told was not used for the next pin.
-func TestPinLearnsFromReplies(t *testing.T) {
+// Guards against pinning a snapshot that the replicas refuse. After a version is
+// published, all replicas of a shard refuse it; if the pin ignores the refusals,
+// every query restarts.
+func TestPinUsesReplies(t *testing.T) {
 	s := shardOf(2)
 	svc := &contract.Service{Name: "search", Maps: []*contract.ShardMap{
 		{Generation: 1, Versions: []uint64{7, 8}, Shards: []*contract.Shard{s}, Documents: 10},
 	}}
 	r := New(Options{VM: "vm-0"})
-	pinnedAt := func(now time.Time) uint64 {
+	pinnedVersion := func(now time.Time) uint64 {
 		_, snapshot, ok := r.Pin(now, svc)
 		if !ok {
 			t.Fatal("nothing to pin")
 		}
 		return snapshot.Version
 	}
-	if v := pinnedAt(start); v != 8 {
+	if v := pinnedVersion(start); v != 8 {
 		t.Fatalf("pinned %d", v)
 	}
 	v8 := &pb.Snapshot{Generation: 1, Version: 8}
@@ -106,25 +105,24 @@
 	if i := r.Replica(start, query.Want{Shard: s, Snapshot: v8}); i != query.NoReplica {
 		t.Errorf("replica %d was chosen for a snapshot it lacks", i)
 	}
-	if v := pinnedAt(start); v != 7 {
-		t.Errorf("pinned %d, which nobody serves", v)
+	if v := pinnedVersion(start); v != 7 {
+		t.Errorf("pinned %d, which no replica serves", v)
 	}
 	if _, snapshot, ok := r.Repin(start, svc, v8); !ok || snapshot.Version != 7 {
 		t.Errorf("restarts at %v, %v", snapshot, ok)
 	}
 	r.Status(start, &pb.UpstreamStatus{Upstream: s.Replicas[0].ID, State: pb.UpstreamState_DRAINING})
-	if i := r.Replica(start, query.Want{Shard: s, Snapshot: pinned7}); i != 1 {
-		t.Errorf("replica %d was chosen beside one that drains", i)
+	if i := r.Replica(start, query.Want{Shard: s, Snapshot: snapshot7}); i != 1 {
+		t.Errorf("replica %d was chosen, want the one that is not draining", i)
 	}
-	if v := pinnedAt(start.Add(10 * time.Minute)); v != 8 {
-		t.Errorf("pinned %d after what was learned has expired", v)
+	if v := pinnedVersion(start.Add(10 * time.Minute)); v != 8 {
+		t.Errorf("pinned %d after the readiness information expired", v)
 	}
 }
 
-// Symptom: a daemon's memory grows for as long as upstreams are replaced.
-// Sequence: an upstream is learned of, then it is taken out of the configuration.
-// Cause: nothing forgot it.
-func TestForgetsUpstreamsThatAreGone(t *testing.T) {
+// Guards against a memory leak: an upstream that was observed and then removed from
+// the configuration must not keep its state in the router.
+func TestUpdateDropsRemovedUpstreams(t *testing.T) {
 	r := New(Options{VM: "vm-0"})
 	v := viewOf("vm-1")
 	kept, gone := &contract.Upstream{ID: "search/0"}, &contract.Upstream{ID: "search/1"}
@@ -133,9 +131,9 @@
 	r.Opened(start, gone)
 	r.Update(v, ownership.Assign(v.Serving(), []*contract.Upstream{kept}))
 	if _, ok := r.upstreams.Load(gone.ID); ok {
-		t.Error("what was learned of a removed upstream is still there")
+		t.Error("the state of a removed upstream was kept")
 	}
 	if _, ok := r.upstreams.Load(kept.ID); !ok {
-		t.Error("what was learned of a published upstream is lost")
+		t.Error("the state of a published upstream was dropped")
 	}
 }
