--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,8 @@
 // Package config decides which published documents are in force and when a
-// daemon reads the platform or asks its peers. Both parts are pure: State holds
-// the documents, Syncer takes events and returns actions. For each document the
-// highest revision that passes the check counts, from whoever it came, and no
-// lower one ever replaces it.
+// daemon reads the platform or pulls from its peers. Neither part does I/O: State
+// holds the documents, and Syncer maps events to actions. The version in force of
+// a document is the highest revision that passes validation, whatever its source;
+// a lower revision never replaces it.
 package config
 
 import (
@@ -20,21 +20,21 @@
 // document is larger.
 const MaxPageBytes = 1 << 20
 
-// Page is a run of changes.
+// Page is a range of changes in revision order.
 type Page struct {
-	// The page holds every change above After, up to and with Revision.
-	// Documents above Revision are a part of the next one.
+	// The page holds every change in (After, Revision]. Documents above
+	// Revision are the first part of revision Revision+1.
 	After     uint64
 	Revision  uint64
 	Documents []*pb.PublishedDocument
-	// More says that the page was full.
+	// More reports that the page was truncated and further changes follow.
 	More bool
-	// Digest covers all versions the sender holds; 0 when it gives none.
+	// Digest covers all versions that the sender holds; 0 if absent.
 	Digest uint64
 }
 
-// Next is where the page after this one starts: a revision and, inside the next
-// one, a name.
+// Next returns the position of the following page: the last complete revision
+// and, if this page ends within the next revision, its last document name.
 func (p *Page) Next() (after uint64, name string) {
 	if n := len(p.Documents); n > 0 && p.Documents[n-1].Revision > p.Revision {
 		return p.Revision, p.Documents[n-1].Name
@@ -42,28 +42,28 @@
 	return p.Revision, ""
 }
 
-// Rejected is a revision that failed the check and so is not in force.
+// Rejected is a revision that failed validation and is therefore not in force.
 type Rejected struct {
 	Name     string       `json:"name"`
 	Revision uint64       `json:"revision"`
 	Findings finding.List `json:"findings"`
 }
 
-// State is the documents of one daemon. It is not safe for concurrent use.
+// State holds the documents of one daemon. It is not safe for concurrent use.
 //
-// Two daemons that have seen the same versions hold the same state, in whatever
-// order they came and however often: per document it keeps the highest version
-// that passes the check and, above that one, the highest that fails.
+// Merging is commutative and idempotent: daemons that have received the same
+// versions hold the same state. For each document, State keeps the highest valid
+// version and, if it is higher, the highest invalid one.
 type State struct {
 	revision uint64
 	entries  map[string]*entry
 	digest   uint64
-	// pageBytes bounds the pages given out.
+	// pageBytes bounds the document bodies of the pages that Since returns.
 	pageBytes int
 }
 
-// entry holds one document's version in force and, when that is not the newest
-// one, the newest with its findings.
+// entry holds the version of a document that is in force and, if a newer one was
+// rejected, that version with its findings.
 type entry struct {
 	accepted *version
 	document *pb.Document
@@ -71,9 +71,9 @@
 	findings finding.List
 }
 
-// version is one published version. The hash of the body orders two bodies
-// under one revision, which a platform restored from a backup may publish: all
-// daemons then settle on the same one.
+// version is one published version. A platform restored from a backup may publish
+// two bodies under one revision; the hash of the body orders them, so that all
+// daemons select the same one.
 type version struct {
 	*pb.PublishedDocument
 	sum uint64
@@ -87,8 +87,8 @@
 	return v
 }
 
-// above tells whether v replaces o.
-func (v *version) above(o *version) bool {
+// supersedes reports whether v is newer than o; any version is newer than nil.
+func (v *version) supersedes(o *version) bool {
 	if o == nil {
 		return true
 	}
@@ -98,8 +98,9 @@
 	return v.sum > o.sum
 }
 
-// digest is the version's term in the state's digest. A deletion has none: a
-// daemon that started after it may never have seen it, and holds the same.
+// digest returns the version's term in the state's digest. It is 0 for a
+// deletion, because a daemon that starts later may never receive the deletion
+// and still has the same documents.
 func (v *version) digest() uint64 {
 	if v == nil || v.Deleted {
 		return 0
@@ -113,32 +114,32 @@
 	return h.Sum64()
 }
 
-// New is a state that holds nothing.
+// New returns an empty State.
 func New() *State {
 	return &State{entries: map[string]*entry{}, pageBytes: MaxPageBytes}
 }
 
-// Revision is the watermark: every change up to it has been taken in, or was
-// never given by the sources asked.
+// Revision returns the watermark: every change up to it has been merged, unless
+// the queried sources left it out of their answers.
 func (s *State) Revision() uint64 {
 	return s.revision
 }
 
-// Digest covers every version held, accepted or rejected. Daemons of one
-// revision whose digests differ lack a version.
+// Digest covers every accepted and rejected version. If two daemons at one
+// revision have different digests, at least one of them lacks a version.
 func (s *State) Digest() uint64 {
 	return s.digest
 }
 
-// Merge takes in a page and returns the documents that were news, accepted or
-// rejected. A page from a source that lags behind changes nothing: each document
-// is compared by its own revision. The watermark moves only when the page joins
-// on to it: a page that starts above it leaves a gap, and a change in the gap
-// would never be asked for again.
+// Merge adds a page and returns the documents that changed the state, accepted or
+// rejected. A page from a stale source changes nothing, because each document is
+// compared by its own revision. The watermark advances only if the page is
+// contiguous with it: advancing past a gap would mean that changes in the gap are
+// never requested again.
 func (s *State) Merge(p Page) []*pb.PublishedDocument {
 	var news []*pb.PublishedDocument
 	for _, d := range p.Documents {
-		if s.offer(d) {
+		if s.mergeDocument(d) {
 			news = append(news, d)
 		}
 	}
@@ -148,8 +149,8 @@
 	return news
 }
 
-// offer takes in one version; false when it changed nothing.
-func (s *State) offer(d *pb.PublishedDocument) bool {
+// mergeDocument merges one version and reports whether the state changed.
+func (s *State) mergeDocument(d *pb.PublishedDocument) bool {
 	if d.Name == "" || d.Revision == 0 {
 		return false
 	}
@@ -159,7 +160,7 @@
 		s.entries[d.Name] = e
 	}
 	v := newVersion(d)
-	if !v.above(e.accepted) || e.holds(v) {
+	if !v.supersedes(e.accepted) || e.hasRejected(v) {
 		return false
 	}
 	s.digest -= e.digest()
@@ -180,22 +181,22 @@
 	return e.accepted.digest() + e.rejected.digest()
 }
 
-// holds tells whether v is the rejected version already checked.
-func (e *entry) holds(v *version) bool {
+// hasRejected reports whether v has already been validated and rejected.
+func (e *entry) hasRejected(v *version) bool {
 	return e.rejected != nil && v.Revision == e.rejected.Revision && v.sum == e.rejected.sum
 }
 
 func (e *entry) accept(v *version, doc *pb.Document) {
 	e.accepted = v
 	e.document = doc
-	if e.rejected != nil && v.above(e.rejected) {
+	if e.rejected != nil && v.supersedes(e.rejected) {
 		e.rejected = nil
 		e.findings = nil
 	}
 }
 
 func (e *entry) reject(v *version, findings finding.List) bool {
-	if !v.above(e.rejected) {
+	if !v.supersedes(e.rejected) {
 		return false
 	}
 	e.rejected = v
@@ -203,10 +204,10 @@
 	return true
 }
 
-// Since is the page of changes above a revision, lowest first; documents of the
-// next revision up to name are left out. It holds the version in force of each
-// document and its rejected successor: a daemon that starts learns both, so that
-// what is in force here comes into force there.
+// Since returns the page of changes above revision after, in ascending order. A
+// non-empty name skips the documents of revision after+1 up to and including name.
+// The page holds both the accepted version of each document and its rejected
+// successor, so that a starting daemon puts the same version in force.
 func (s *State) Since(after uint64, name string) Page {
 	if after >= s.revision {
 		return Page{After: after, Revision: s.revision, Digest: s.digest}
@@ -214,38 +215,38 @@
 	var docs []*pb.PublishedDocument
 	for _, e := range s.entries {
 		for _, v := range [...]*version{e.accepted, e.rejected} {
-			if v != nil && v.follows(after, name) {
+			if v != nil && v.isAfter(after, name) {
 				docs = append(docs, v.PublishedDocument)
 			}
 		}
 	}
-	sort.Slice(docs, func(i, j int) bool { return before(docs[i], docs[j]) })
-	return s.cut(docs, after)
+	sort.Slice(docs, func(i, j int) bool { return sortsBefore(docs[i], docs[j]) })
+	return s.limitPage(docs, after)
 }
 
-func (v *version) follows(after uint64, name string) bool {
+func (v *version) isAfter(after uint64, name string) bool {
 	if v.Revision == after+1 && name != "" {
 		return v.Name > name
 	}
 	return v.Revision > after
 }
 
-func before(a, b *pb.PublishedDocument) bool {
+func sortsBefore(a, b *pb.PublishedDocument) bool {
 	if a.Revision != b.Revision {
 		return a.Revision < b.Revision
 	}
 	return a.Name < b.Name
 }
 
-// cut ends the page where its bodies grow too large. When that is between two
-// documents of one revision, the page's revision stays below it: a daemon that
-// stops here must still know that it lacks the rest.
-func (s *State) cut(docs []*pb.PublishedDocument, after uint64) Page {
+// limitPage truncates the page when its bodies exceed pageBytes. If the cut falls
+// between two documents of one revision, the page's revision stays below that
+// revision, so that a receiver which stops here still requests the rest.
+func (s *State) limitPage(docs []*pb.PublishedDocument, after uint64) Page {
 	page := Page{After: after, Revision: s.revision, Documents: docs, Digest: s.digest}
 	size := 0
 	for i, d := range docs {
 		size += len(d.Body)
-		if size <= s.pageBytes || i == 0 || !before(docs[i-1], d) {
+		if size <= s.pageBytes || i == 0 || !sortsBefore(docs[i-1], d) {
 			continue
 		}
 		page.Documents = docs[:i]
@@ -259,7 +260,7 @@
 	return page
 }
 
-// Snapshot compiles what is in force.
+// Snapshot compiles the documents in force.
 func (s *State) Snapshot() *contract.Snapshot {
 	var docs []contract.Accepted
 	for name, e := range s.entries {
@@ -271,7 +272,8 @@
 	return contract.Compile(s.revision, docs)
 }
 
-// Rejected is every document whose newest revision failed the check, by name.
+// Rejected returns the documents whose newest revision failed validation, sorted
+// by name.
 func (s *State) Rejected() []Rejected {
 	var out []Rejected
 	for name, e := range s.entries {
@@ -283,7 +285,7 @@
 	return out
 }
 
-// InForce is the revision of a document in force, 0 when there is none.
+// InForce returns the revision of the named document that is in force, or 0.
 func (s *State) InForce(name string) uint64 {
 	e := s.entries[name]
 	if e == nil || e.accepted == nil {
--- a/internal/config/events.go
+++ b/internal/config/events.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Peer is another daemon that may be asked.
+// Peer is another daemon that this one can pull from.
 type Peer struct {
 	VM         string
 	DataCentre string
-	// Address is where it serves peers.
+	// Address is the address on which it serves peers.
 	Address string
 }
 
-// Event is something a Syncer reacts to.
+// Event is an input of Syncer.Step.
 type Event interface{ event() }
 
-// Tick lets time pass; it comes several times a second.
+// Tick runs the timers; the driver sends it several times a second.
 type Tick struct{}
 
-// Peers replaces the peers that may be asked, this daemon left out.
+// Peers replaces the list of peers, which excludes this daemon.
 type Peers struct{ List []Peer }
 
-// Heard tells that a peer claims to hold a revision.
+// Heard reports the revision that a peer claims to hold.
 type Heard struct {
 	Address  string
 	Revision uint64
@@ -29,23 +29,23 @@
 type Pulled struct {
 	ID   uint64
 	Page Page
-	// Age is how long ago the platform confirmed the peer's configuration.
+	// Age is the time since the platform confirmed the peer's configuration.
 	Age time.Duration
 }
 
-// PullLost tells that a Pull will get no answer.
+// PullLost reports that a Pull will not be answered.
 type PullLost struct{ ID uint64 }
 
-// Pushed is a page that a peer sent unasked.
+// Pushed is an unsolicited page from a peer.
 type Pushed struct {
 	Address string
 	Page    Page
 }
 
-// Answered is the platform's answer to a Read.
+// Answered is the platform's response to a Read.
 type Answered struct{ Page Page }
 
-// Failed tells that a Read brought nothing.
+// Failed reports that a Read failed.
 type Failed struct{ Reason FailureReason }
 
 func (Tick) event()     {}
@@ -57,37 +57,37 @@
 func (Answered) event() {}
 func (Failed) event()   {}
 
-// FailureReason is why a read of the platform brought nothing.
+// FailureReason is the reason why a read of the platform failed.
 type FailureReason string
 
-// The reasons, as they stand in metrics and status.
+// The failure reasons, spelled as in metrics and status.
 const (
-	// Unreachable: no connection, or no answer in time.
+	// Unreachable means that the connection failed or the read timed out.
 	Unreachable FailureReason = "unreachable"
-	// Refused: an answer with another status than 200.
+	// Refused means a response with a status other than 200.
 	Refused FailureReason = "refused"
-	// Malformed: an answer that is cut off or breaks the interface's rules.
+	// Malformed means a response that is truncated or violates the protocol.
 	Malformed FailureReason = "malformed"
-	// Stale: an answer of a lower revision than the one asked about.
+	// Stale means a response with a lower revision than the requested one.
 	Stale FailureReason = "stale"
 )
 
-// FailureReasons is every reason.
+// FailureReasons lists every FailureReason.
 var FailureReasons = []FailureReason{Unreachable, Refused, Malformed, Stale}
 
-// Action is something the driver must do.
+// Action is an output of Syncer.Step that the driver carries out.
 type Action interface{ action() }
 
-// Read asks the platform for the changes above a revision and waits up to Wait
-// for the first one. There is never more than one Read open; it ends with
+// Read requests the changes above revision After from the platform, which waits
+// up to Wait for the first one. At most one Read is open at a time; it ends with
 // Answered or Failed.
 type Read struct {
 	After uint64
 	Wait  time.Duration
 }
 
-// Pull asks a peer for the changes above a place. It ends with Pulled or
-// PullLost; the Syncer gives up by itself when neither comes.
+// Pull requests the changes above a position, as returned by Page.Next, from a
+// peer. It ends with Pulled or PullLost; otherwise the Syncer times it out.
 type Pull struct {
 	ID        uint64
 	Address   string
@@ -96,16 +96,16 @@
 	Held      uint64
 }
 
-// Push sends a page to peers unasked.
+// Push sends an unsolicited page to peers.
 type Push struct {
 	Addresses []string
 	Page      Page
 }
 
-// PutInForce tells that the State has changed.
+// PutInForce reports that the State has changed.
 type PutInForce struct{}
 
-// Count reports something for the metrics.
+// Count increments the metric of a pull event.
 type Count struct{ Event Counted }
 
 func (Read) action()         {}
@@ -115,13 +115,13 @@
 func (Count) action()        {}
 func (CountFailure) action() {}
 
-// CountFailure reports a read that brought nothing.
+// CountFailure increments the metric of failed reads.
 type CountFailure struct{ Reason FailureReason }
 
-// Counted is what a Count counts.
+// Counted is the kind of pull event in a Count.
 type Counted string
 
-// What is counted, as it stands in metrics.
+// The pull events, spelled as in metrics.
 const (
 	PullTimedOut  Counted = "timed_out"
 	PullWasLost   Counted = "lost"
@@ -131,5 +131,5 @@
 	PullFellShort Counted = "fell_short"
 )
 
-// CountedEvents is every counted event.
+// CountedEvents lists every pull event.
 var CountedEvents = []Counted{PullTimedOut, PullWasLost, PullRepaired, PullDiffers, PullLate, PullFellShort}
--- a/internal/config/pairs_test.go
+++ b/internal/config/pairs_test.go
@@ -14,13 +14,13 @@
 	start func(s *sim) (heal func())
 }
 
-func restartSome(s *sim, pick func(*simNode) bool) {
+func restartWhere(s *sim, pick func(*simNode) bool) {
 	for _, n := range s.nodes {
 		if n.up && pick(n) {
 			n.stop()
 			s.after(time.Duration(s.random.Int64N(int64(20*time.Second))), func() {
 				n.start()
-				s.tellPeers()
+				s.updatePeers()
 			})
 		}
 	}
@@ -49,19 +49,19 @@
 		return func() { s.platform.drop = nil }
 	}},
 	{"data centre without platform", func(s *sim) func() {
-		s.platform.dark["dc-1"] = true
-		return func() { s.platform.dark["dc-1"] = false }
+		s.platform.unreachableFrom["dc-1"] = true
+		return func() { s.platform.unreachableFrom["dc-1"] = false }
 	}},
 	{"partition", func(s *sim) func() {
 		s.cut = func(from, to string) bool { return (from == "dc-2") != (to == "dc-2") }
 		return func() { s.cut = func(string, string) bool { return false } }
 	}},
 	{"readers replaced", func(s *sim) func() {
-		restartSome(s, func(n *simNode) bool { return n.syncer.Reader() })
+		restartWhere(s, func(n *simNode) bool { return n.syncer.Reader() })
 		return func() {}
 	}},
 	{"a data centre replaced", func(s *sim) func() {
-		restartSome(s, func(n *simNode) bool { return n.dc == "dc-0" })
+		restartWhere(s, func(n *simNode) bool { return n.dc == "dc-0" })
 		return func() {}
 	}},
 	{"pushes lost", func(s *sim) func() {
@@ -88,7 +88,7 @@
 				s.publish(good, "b")
 				s.startAll()
 				s.run(5 * time.Second)
-				s.tellPeers()
+				s.updatePeers()
 				s.run(10 * time.Second)
 				healFirst := first.start(s)
 				s.run(time.Duration(s.random.Int64N(int64(5 * time.Second))))
@@ -99,19 +99,19 @@
 				}
 				healFirst()
 				healSecond()
-				s.mustAgree(t)
-				s.mustHold(t)
+				s.requireConverged(t)
+				s.requireNoViolations(t)
 			})
 		}
 	}
 }
 
-// mustAgree asserts that a last change is in force everywhere in time, and that
+// requireConverged asserts that a last change is in force everywhere in time, and that
 // soon all VMs hold the same and the highest.
-func (s *sim) mustAgree(t *testing.T) {
+func (s *sim) requireConverged(t *testing.T) {
 	t.Helper()
-	s.mustReach(t, "c", s.publish(good, "c"), target)
-	s.run(3 * askEvery)
+	s.requireInForce(t, "c", s.publish(good, "c"), changeDeadline)
+	s.run(3 * pollInterval)
 	want := s.nodes[0].syncer.State()
 	for _, n := range s.nodes {
 		got := n.syncer.State()
@@ -141,7 +141,7 @@
 // Sequence: the process stands still, changes pass it by, it wakes.
 // Cause: waiting for the next heartbeat, or for its turn to ask.
 func TestAskAtOnceAfterAPause(t *testing.T) {
-	s := started(t, 6, 1)
+	s := newStartedSim(t, 6, 1)
 	n := s.nodes[2]
 	wake := s.now.Add(3 * time.Second)
 	for _, a := range n.syncer.Step(wake, Tick{}) {
--- a/internal/config/pulls.go
+++ b/internal/config/pulls.go
@@ -8,81 +8,82 @@
 )
 
 const (
-	// pullTimeout is when a pull is given up and another peer asked.
+	// pullTimeout is the time after which a pull fails and another peer is tried.
 	pullTimeout = 2 * time.Second
-	// askEvery is how often a daemon asks a reader, besides what it hears. It
-	// bounds the time until a change is in force where every push was lost.
-	askEvery = 8 * time.Second
-	// claimLife is how long a claim of a higher revision is pursued.
-	claimLife = 30 * time.Second
-	// maxClaims bounds the claims kept.
+	// pollInterval is the interval at which a daemon polls a reader, in addition
+	// to pushes and heartbeats. It bounds the propagation delay of a change when
+	// every push is lost.
+	pollInterval = 8 * time.Second
+	// claimTTL is the lifetime of a peer's claim to hold a higher revision.
+	claimTTL = 30 * time.Second
+	// maxClaims bounds the number of stored claims.
 	maxClaims = 16
-	// maxPushBytes bounds what is pushed; beyond it only the revision is, and
-	// the peers pull.
+	// maxPushBytes bounds the document bodies in a push. A larger change is
+	// announced by its revision only, and the peers pull it.
 	maxPushBytes = 16 << 10
-	// maxFruitless bounds the remembered differences that a full pull did not
-	// settle.
-	maxFruitless = 64
+	// maxUnresolved bounds the number of stored digest differences that a full
+	// pull did not resolve.
+	maxUnresolved = 64
 )
 
-// pullState is what this daemon asks of its peers.
+// pullState tracks the pulls from peers.
 type pullState struct {
-	nextID  uint64
-	open    map[uint64]*openPull
-	claims  []claim
-	nextAsk time.Time
-	// misses counts asks of readers that failed in a row.
-	misses int
-	// fruitless holds the differences between digests that a full pull did not
-	// settle. Two builds of the daemon that judge a document differently stay
-	// different: without this memory they would send each other everything, over
-	// and over. A digest is a sum over the versions held, so the difference
-	// stays the same while other documents change.
-	fruitless map[uint64]bool
+	nextID   uint64
+	open     map[uint64]*openPull
+	claims   []claim
+	nextPoll time.Time
+	// failedPolls counts consecutive failed polls of readers.
+	failedPolls int
+	// unresolved holds the digest differences that a full pull did not resolve.
+	// Two builds of the daemon that validate a document differently never
+	// converge; without this set they would repeat full pulls indefinitely. A
+	// digest is a sum over the versions held, so the difference is unaffected by
+	// changes to other documents.
+	unresolved map[uint64]bool
 }
 
-// openPull is a pull that waits for its answer.
+// openPull is a pull without a response yet.
 type openPull struct {
 	address  string
 	deadline time.Time
 	purpose  purpose
-	// digest is the own digest when a full pull began.
+	// digest is this daemon's digest at the start of the pull.
 	digest uint64
 }
 
 type purpose int
 
 const (
-	// chasing a revision that the peer claims.
-	chasing purpose = iota
-	// asking a reader, to confirm that nothing is new.
-	asking
-	// starting: the first round of peers.
-	starting
-	// repairing a difference at one revision, by a full pull.
-	repairing
+	// purposeClaim fetches a higher revision that the peer claims to hold.
+	purposeClaim purpose = iota
+	// purposePoll checks a reader for changes.
+	purposePoll
+	// purposeStart fetches the configuration at startup.
+	purposeStart
+	// purposeRepair is a full pull that resolves different digests at one revision.
+	purposeRepair
 )
 
-// claim is a higher revision that a peer is said to hold.
+// claim is a higher revision that a peer claims to hold.
 type claim struct {
-	address  string
-	revision uint64
-	heard    time.Time
+	address    string
+	revision   uint64
+	receivedAt time.Time
 }
 
 func newPullState() pullState {
-	return pullState{open: map[uint64]*openPull{}, fruitless: map[uint64]bool{}}
+	return pullState{open: map[uint64]*openPull{}, unresolved: map[uint64]bool{}}
 }
 
-func (s *Syncer) heard(address string, revision uint64) {
+func (s *Syncer) handleClaim(address string, revision uint64) {
 	if revision <= s.state.Revision() || address == "" || address == s.opts.Address {
 		return
 	}
-	s.noteClaim(claim{address: address, revision: revision, heard: s.now})
-	s.chase()
+	s.recordClaim(claim{address: address, revision: revision, receivedAt: s.now})
+	s.pullHighestClaim()
 }
 
-func (s *Syncer) noteClaim(c claim) {
+func (s *Syncer) recordClaim(c claim) {
 	p := &s.pulls
 	for i := range p.claims {
 		if p.claims[i].address == c.address {
@@ -96,12 +97,13 @@
 	p.claims = append(p.claims, c)
 }
 
-// chase pulls from the peer with the highest claim above what is held. One pull
-// runs at a time: peers that learnt of the same change would send it again.
-func (s *Syncer) chase() {
+// pullHighestClaim pulls from the peer that claims the highest revision above the
+// local one. Only one such pull runs at a time, because several peers with the
+// same change would each send it.
+func (s *Syncer) pullHighestClaim() {
 	p := &s.pulls
-	s.dropClaims()
-	if len(p.claims) == 0 || s.pulling(chasing) || s.pulling(repairing) {
+	s.pruneClaims()
+	if len(p.claims) == 0 || s.hasOpenPull(purposeClaim) || s.hasOpenPull(purposeRepair) {
 		return
 	}
 	best := 0
@@ -110,14 +112,14 @@
 			best = i
 		}
 	}
-	s.pull(p.claims[best].address, s.state.Revision(), "", chasing)
+	s.startPull(p.claims[best].address, s.state.Revision(), "", purposeClaim)
 }
 
-func (s *Syncer) dropClaims() {
+func (s *Syncer) pruneClaims() {
 	p := &s.pulls
 	kept := p.claims[:0]
 	for _, c := range p.claims {
-		if c.revision > s.state.Revision() && s.now.Sub(c.heard) < claimLife {
+		if c.revision > s.state.Revision() && s.now.Sub(c.receivedAt) < claimTTL {
 			kept = append(kept, c)
 		}
 	}
@@ -134,127 +136,128 @@
 	}
 }
 
-func (s *Syncer) pulling(why purpose) bool {
+func (s *Syncer) hasOpenPull(p purpose) bool {
 	for _, o := range s.pulls.open {
-		if o.purpose == why {
+		if o.purpose == p {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *Syncer) pull(address string, after uint64, name string, why purpose) {
+func (s *Syncer) startPull(address string, after uint64, name string, purpose purpose) {
 	p := &s.pulls
 	p.nextID++
 	p.open[p.nextID] = &openPull{
 		address:  address,
 		deadline: s.now.Add(pullTimeout),
-		purpose:  why,
+		purpose:  purpose,
 		digest:   s.state.Digest(),
 	}
-	s.do(Pull{ID: p.nextID, Address: address, After: after, AfterName: name, Held: s.state.Revision()})
+	s.emit(Pull{ID: p.nextID, Address: address, After: after, AfterName: name, Held: s.state.Revision()})
 }
 
-func (s *Syncer) pulled(e Pulled) {
+func (s *Syncer) handlePulled(e Pulled) {
 	o := s.pulls.open[e.ID]
 	if o == nil {
-		s.do(Count{PullLate})
-		s.merge(e.Page)
+		s.emit(Count{PullLate})
+		s.mergePage(e.Page)
 		return
 	}
 	delete(s.pulls.open, e.ID)
-	s.merge(e.Page)
+	s.mergePage(e.Page)
 	if e.Page.More {
-		s.goOn(o, e.Page)
+		s.pullNextPage(o, e.Page)
 		return
 	}
-	s.endPull(o, e)
+	s.finishPull(o, e)
 }
 
-// goOn asks for the page after a full one.
-func (s *Syncer) goOn(o *openPull, page Page) {
+// pullNextPage continues a pull after a truncated page.
+func (s *Syncer) pullNextPage(o *openPull, page Page) {
 	after, name := page.Next()
-	s.pull(o.address, after, name, o.purpose)
+	s.startPull(o.address, after, name, o.purpose)
 	s.pulls.open[s.pulls.nextID].digest = o.digest
 }
 
-func (s *Syncer) endPull(o *openPull, e Pulled) {
+func (s *Syncer) finishPull(o *openPull, e Pulled) {
 	if confirmed := s.now.Add(-e.Age); confirmed.After(s.platform.confirmed) && e.Page.Revision >= s.state.Revision() {
 		s.platform.confirmed = confirmed
 	}
 	switch o.purpose {
-	case starting:
+	case purposeStart:
 		if e.Page.Revision > 0 {
 			s.start.answers++
 		}
-	case asking:
-		s.pulls.misses = 0
-	case repairing:
-		s.endRepair(o, e.Page)
+	case purposePoll:
+		s.pulls.failedPolls = 0
+	case purposeRepair:
+		s.finishRepair(o, e.Page)
 		return
-	case chasing:
-		s.endChase(o, e.Page.Revision)
+	case purposeClaim:
+		s.finishClaimPull(o, e.Page.Revision)
 	}
-	s.repair(o.address, e.Page)
-	s.chase()
+	s.repairIfDigestDiffers(o.address, e.Page)
+	s.pullHighestClaim()
 }
 
-// endChase drops a claim that the peer could not make good: a peer that was
-// replaced, or a forged number, must not be asked over and over.
-func (s *Syncer) endChase(o *openPull, revision uint64) {
+// finishClaimPull drops a claim above the revision that the peer returned. A peer
+// that was replaced, or a forged revision, would otherwise cause endless pulls.
+func (s *Syncer) finishClaimPull(o *openPull, revision uint64) {
 	for _, c := range s.pulls.claims {
 		if c.address == o.address && c.revision > revision {
-			s.do(Count{PullFellShort})
+			s.emit(Count{PullFellShort})
 			s.dropClaim(o.address)
 			return
 		}
 	}
 }
 
-// repair pulls everything from a peer that holds the same revision but other
-// versions. One of both lacks something: a partial answer of the platform, or
-// the former version of a document whose newest was rejected.
-func (s *Syncer) repair(address string, page Page) {
+// repairIfDigestDiffers starts a full pull from a peer that holds the same
+// revision but different versions. One of the two lacks a version, after a partial
+// response of the platform or because the platform no longer has the predecessor
+// of a rejected version.
+func (s *Syncer) repairIfDigestDiffers(address string, page Page) {
 	difference := page.Digest - s.state.Digest()
 	if page.Revision != s.state.Revision() || page.Digest == 0 || difference == 0 {
 		return
 	}
-	if s.pulls.fruitless[difference] || s.pulling(repairing) {
+	if s.pulls.unresolved[difference] || s.hasOpenPull(purposeRepair) {
 		return
 	}
-	s.pull(address, 0, "", repairing)
+	s.startPull(address, 0, "", purposeRepair)
 }
 
-func (s *Syncer) endRepair(o *openPull, page Page) {
+func (s *Syncer) finishRepair(o *openPull, page Page) {
 	p := &s.pulls
 	if s.state.Digest() != o.digest {
-		s.do(Count{PullRepaired})
+		s.emit(Count{PullRepaired})
 	}
 	difference := page.Digest - s.state.Digest()
 	if difference == 0 || page.Revision != s.state.Revision() {
 		return
 	}
-	s.do(Count{PullDiffers})
-	if len(p.fruitless) >= maxFruitless {
-		clear(p.fruitless)
+	s.emit(Count{PullDiffers})
+	if len(p.unresolved) >= maxUnresolved {
+		clear(p.unresolved)
 	}
-	p.fruitless[difference] = true
+	p.unresolved[difference] = true
 }
 
-func (s *Syncer) pullLost(id uint64, why Counted) {
+func (s *Syncer) handlePullLost(id uint64, outcome Counted) {
 	o := s.pulls.open[id]
 	if o == nil {
 		return
 	}
 	delete(s.pulls.open, id)
-	s.do(Count{why})
+	s.emit(Count{outcome})
 	switch o.purpose {
-	case asking:
-		s.pulls.misses++
-		s.pulls.nextAsk = s.now.Add(s.around(readSpacing))
-	case chasing:
+	case purposePoll:
+		s.pulls.failedPolls++
+		s.pulls.nextPoll = s.now.Add(s.jitter(minReadInterval))
+	case purposeClaim:
 		s.dropClaim(o.address)
-		s.chase()
+		s.pullHighestClaim()
 	}
 }
 
@@ -267,37 +270,37 @@
 	}
 	sort.Slice(late, func(i, j int) bool { return late[i] < late[j] })
 	for _, id := range late {
-		s.pullLost(id, PullTimedOut)
+		s.handlePullLost(id, PullTimedOut)
 	}
 }
 
-// askIfDue asks a reader whether anything is new, and anyone when the readers do
-// not answer.
-func (s *Syncer) askIfDue() {
+// pollIfDue polls a peer for changes when a poll is due and none is open.
+func (s *Syncer) pollIfDue() {
 	p := &s.pulls
-	if len(s.peers) == 0 || s.now.Before(p.nextAsk) || s.pulling(asking) {
+	if len(s.peers) == 0 || s.now.Before(p.nextPoll) || s.hasOpenPull(purposePoll) {
 		return
 	}
-	p.nextAsk = s.now.Add(s.around(askEvery))
-	s.pull(s.whomToAsk().Address, s.state.Revision(), "", asking)
+	p.nextPoll = s.now.Add(s.jitter(pollInterval))
+	s.startPull(s.pollTarget().Address, s.state.Revision(), "", purposePoll)
 }
 
-// whomToAsk is a reader of the own data centre. A reader asks another data
-// centre, so that they compare; a VM whose readers do not answer asks anyone.
-func (s *Syncer) whomToAsk() Peer {
+// pollTarget returns a random reader of the local data centre. A reader polls a
+// VM of another data centre instead, so that the two compare their state. After
+// repeated failed polls of the local readers, any peer is eligible.
+func (s *Syncer) pollTarget() Peer {
 	from := s.peers
-	local, remote := Readers(s.local()), s.remote()
+	local, remote := SelectReaders(s.localPeers()), s.remotePeers()
 	switch {
 	case s.reader && len(remote) > 0:
 		from = remote
-	case !s.reader && len(local) > 0 && s.pulls.misses < ReadersPerDataCentre:
+	case !s.reader && len(local) > 0 && s.pulls.failedPolls < ReadersPerDataCentre:
 		from = local
 	}
 	return from[s.opts.Random.IntN(len(from))]
 }
 
-// pushNews passes on a page that moved the revision. Small news travel in the
-// push itself; of larger ones only the revision does, and the peers pull.
+// pushNews pushes a page that advanced the revision. A page above maxPushBytes is
+// announced by its revision only, and the peers pull it.
 func (s *Syncer) pushNews(page Page) {
 	if page.More || bodyBytes(page.Documents) > maxPushBytes {
 		page = Page{After: s.state.Revision(), Revision: s.state.Revision()}
@@ -305,7 +308,7 @@
 	s.push(page)
 }
 
-// pushRepaired passes on versions that were missing below the revision held.
+// pushRepaired pushes versions that were missing at or below the local revision.
 func (s *Syncer) pushRepaired(news []*pb.PublishedDocument) {
 	if bodyBytes(news) > maxPushBytes {
 		news = nil
@@ -313,9 +316,9 @@
 	s.push(Page{After: s.state.Revision(), Revision: s.state.Revision(), Documents: news})
 }
 
-// push sends a page to the peers of the own data centre.
+// push sends a page to the peers of the local data centre.
 func (s *Syncer) push(page Page) {
-	peers := s.local()
+	peers := s.localPeers()
 	if len(peers) == 0 {
 		return
 	}
@@ -324,7 +327,7 @@
 	for _, p := range peers {
 		push.Addresses = append(push.Addresses, p.Address)
 	}
-	s.do(push)
+	s.emit(push)
 }
 
 func bodyBytes(docs []*pb.PublishedDocument) int {
--- a/internal/config/readers.go
+++ b/internal/config/readers.go
@@ -6,19 +6,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ReadersPerDataCentre is how many VMs of each data centre watch the platform.
-// Two, so that one may be lost without a delay.
+// ReadersPerDataCentre is the number of VMs in each data centre that watch the
+// platform. With 2, the loss of one reader causes no delay.
 const ReadersPerDataCentre = 2
 
-// readerRank orders the VMs of a data centre; the lowest ranks read. It depends
-// on the VM alone, so that a change of members moves as few readers as possible.
+// readerRank orders the VMs of a data centre; those with the lowest ranks are the
+// readers. It depends only on the VM, so that a membership change replaces as few
+// readers as possible (rendezvous hashing).
 func readerRank(vm string) uint64 {
 	return xxhash.Sum64String("platform-reader/" + vm)
 }
 
-// Readers picks from the VMs of one data centre those that watch the platform.
-// VMs with differing views pick differing readers: that costs a read, no more.
-func Readers(vms []Peer) []Peer {
+// SelectReaders returns the VMs of one data centre that watch the platform. VMs
+// with different membership views may select different readers, which only costs
+// additional reads.
+func SelectReaders(vms []Peer) []Peer {
 	out := append([]Peer(nil), vms...)
 	sort.Slice(out, func(i, j int) bool {
 		a, b := readerRank(out[i].VM), readerRank(out[j].VM)
--- a/internal/config/sim_test.go
+++ b/internal/config/sim_test.go
@@ -13,13 +13,13 @@
 
 // Times of the simulated network, one way.
 const (
-	simNear     = time.Millisecond
-	simFar      = 12 * time.Millisecond
-	simPlatform = 3 * time.Millisecond
-	simTick     = 100 * time.Millisecond
-	simGossip   = time.Second
-	// simView is how long it takes until the peers know that a VM is gone.
-	simView = 5 * time.Second
+	simLocalDelay    = time.Millisecond
+	simRemoteDelay   = 12 * time.Millisecond
+	simPlatformDelay = 3 * time.Millisecond
+	simTick          = 100 * time.Millisecond
+	simGossip        = time.Second
+	// simMembershipDelay is how long it takes until the peers know that a VM is gone.
+	simMembershipDelay = 5 * time.Second
 )
 
 // sim is a fleet of Syncers over a fake network in simulated time. It knows
@@ -38,19 +38,19 @@
 	bytes, messages int
 	// losePushes loses every push.
 	losePushes bool
-	broken     []string
+	violations []string
 }
 
 type simNode struct {
-	sim     *sim
-	id      int
-	dc      string
-	life    int
-	up      bool
-	syncer  *Syncer
-	inForce map[string]uint64
-	counted map[Counted]int
-	failed  map[FailureReason]int
+	sim        *sim
+	id         int
+	dc         string
+	generation int
+	up         bool
+	syncer     *Syncer
+	inForce    map[string]uint64
+	counted    map[Counted]int
+	failed     map[FailureReason]int
 	// startedWith is the revision of document a when it began to serve.
 	startedWith uint64
 }
@@ -67,15 +67,15 @@
 	fails func() FailureReason
 	// drop, when set, leaves a document out of answers.
 	drop func(n *simNode, d *pb.PublishedDocument) bool
-	// dark data centres cannot reach it.
-	dark map[string]bool
+	// unreachableFrom data centres cannot reach it.
+	unreachableFrom map[string]bool
 }
 
 type simWatch struct {
-	node  *simNode
-	life  int
-	after uint64
-	until time.Time
+	node       *simNode
+	generation int
+	after      uint64
+	until      time.Time
 }
 
 type simEvent struct {
@@ -106,7 +106,7 @@
 	s := &sim{
 		now:      time.Unix(1_000_000, 0),
 		random:   rand.New(rand.NewPCG(seed, 1)),
-		platform: &simPlatformService{dark: map[string]bool{}},
+		platform: &simPlatformService{unreachableFrom: map[string]bool{}},
 		cut:      func(string, string) bool { return false },
 	}
 	for i := range nodes {
@@ -153,7 +153,7 @@
 // start begins a life of a VM that holds nothing.
 func (n *simNode) start() {
 	s := n.sim
-	n.life++
+	n.generation++
 	n.up = true
 	n.startedWith = 0
 	n.inForce, n.counted, n.failed = map[string]uint64{}, map[Counted]int{}, map[FailureReason]int{}
@@ -161,7 +161,7 @@
 	n.syncer = NewSyncer(s.now, Options{
 		VM: me.VM, DataCentre: me.DataCentre, Address: me.Address,
 		Seeds:  []string{s.nodes[0].peer().Address, s.nodes[len(s.nodes)/2].peer().Address},
-		Random: rand.New(rand.NewPCG(uint64(n.id), uint64(n.life))),
+		Random: rand.New(rand.NewPCG(uint64(n.id), uint64(n.generation))),
 	})
 	n.every(simTick, func() { n.step(Tick{}) })
 	n.every(simGossip, n.heartbeat)
@@ -170,14 +170,14 @@
 // stop ends a VM at once; its peers know after a while.
 func (n *simNode) stop() {
 	n.up = false
-	n.sim.after(simView, n.sim.tellPeers)
+	n.sim.after(simMembershipDelay, n.sim.updatePeers)
 }
 
 func (n *simNode) every(d time.Duration, run func()) {
-	life := n.life
+	life := n.generation
 	var again func()
 	again = func() {
-		if n.up && n.life == life {
+		if n.up && n.generation == life {
 			run()
 			n.sim.after(d, again)
 		}
@@ -185,8 +185,8 @@
 	n.sim.after(time.Duration(n.sim.random.Int64N(int64(d))), again)
 }
 
-// tellPeers gives every VM that knows the list the live members.
-func (s *sim) tellPeers() {
+// updatePeers gives every VM that knows the list the live members.
+func (s *sim) updatePeers() {
 	for _, n := range s.nodes {
 		if n.up && n.syncer.State().Revision() > 0 {
 			n.step(Peers{List: s.livePeers(n)})
@@ -208,16 +208,16 @@
 func (s *sim) send(from, to *simNode, size int, deliver, lost func()) {
 	s.messages++
 	s.bytes += size
-	delay := simNear
+	delay := simLocalDelay
 	if from.dc != to.dc {
-		delay = simFar
+		delay = simRemoteDelay
 	}
 	if s.cut(from.dc, to.dc) {
 		return
 	}
-	life := to.life
+	life := to.generation
 	s.after(delay, func() {
-		if !to.up || to.life != life {
+		if !to.up || to.generation != life {
 			lost()
 			return
 		}
@@ -231,11 +231,11 @@
 	if to == n || !to.up || n.sim.cut(n.dc, to.dc) {
 		return
 	}
-	n.sim.after(simFar, func() { to.hear(n) })
-	n.sim.after(2*simFar, func() { n.hear(to) })
+	n.sim.after(simRemoteDelay, func() { to.receiveHeartbeat(n) })
+	n.sim.after(2*simRemoteDelay, func() { n.receiveHeartbeat(to) })
 }
 
-func (n *simNode) hear(from *simNode) {
+func (n *simNode) receiveHeartbeat(from *simNode) {
 	if n.up && from.up {
 		n.step(Heard{Address: from.peer().Address, Revision: from.syncer.State().Revision()})
 	}
@@ -245,7 +245,7 @@
 	started := n.syncer.Started()
 	actions := n.syncer.Step(n.sim.now, e)
 	for _, a := range actions {
-		n.act(a)
+		n.perform(a)
 	}
 	n.check()
 	if !started && n.syncer.Started() {
@@ -253,7 +253,7 @@
 	}
 }
 
-func (n *simNode) act(a Action) {
+func (n *simNode) perform(a Action) {
 	switch a := a.(type) {
 	case Read:
 		n.read(a)
@@ -277,21 +277,21 @@
 	for name := range n.syncer.State().entries {
 		got := n.syncer.State().InForce(name)
 		if got < n.inForce[name] {
-			n.sim.fault("%s: %s went back from %d to %d", n.peer().VM, name, n.inForce[name], got)
+			n.sim.recordViolation("%s: %s went back from %d to %d", n.peer().VM, name, n.inForce[name], got)
 		}
 		n.inForce[name] = got
 	}
 }
 
-func (s *sim) fault(format string, args ...any) {
-	s.broken = append(s.broken, fmt.Sprintf(format, args...))
+func (s *sim) recordViolation(format string, args ...any) {
+	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
 func (n *simNode) pull(a Pull) {
-	to, life := n.sim.find(a.Address), n.life
+	to, life := n.sim.find(a.Address), n.generation
 	lost := func() {
-		n.sim.after(simNear, func() {
-			if n.up && n.life == life {
+		n.sim.after(simLocalDelay, func() {
+			if n.up && n.generation == life {
 				n.step(PullLost{ID: a.ID})
 			}
 		})
@@ -302,7 +302,7 @@
 		page := to.syncer.State().Since(a.After, a.AfterName)
 		age := to.syncer.PlatformAge(n.sim.now)
 		n.sim.send(to, n, pageSize(page), func() {
-			if n.life == life {
+			if n.generation == life {
 				n.step(Pulled{ID: a.ID, Page: page, Age: age})
 			}
 		}, func() {})
@@ -339,20 +339,20 @@
 }
 
 func (n *simNode) read(a Read) {
-	p, life := n.sim.platform, n.life
+	p, life := n.sim.platform, n.generation
 	p.reads++
-	if p.dark[n.dc] {
+	if p.unreachableFrom[n.dc] {
 		n.sim.after(time.Second, func() { n.failRead(life, Unreachable) })
 		return
 	}
-	n.sim.after(simPlatform, func() {
+	n.sim.after(simPlatformDelay, func() {
 		if p.fails != nil {
 			if reason := p.fails(); reason != "" {
 				n.failRead(life, reason)
 				return
 			}
 		}
-		w := simWatch{node: n, life: life, after: a.After, until: n.sim.now.Add(a.Wait)}
+		w := simWatch{node: n, generation: life, after: a.After, until: n.sim.now.Add(a.Wait)}
 		if p.visible() > a.After || a.Wait == 0 {
 			n.sim.answer(w)
 			return
@@ -363,7 +363,7 @@
 }
 
 func (n *simNode) failRead(life int, reason FailureReason) {
-	if n.up && n.life == life {
+	if n.up && n.generation == life {
 		n.step(Failed{Reason: reason})
 	}
 }
@@ -399,8 +399,8 @@
 		}
 		page.Documents = kept
 	}
-	s.after(simPlatform, func() {
-		if w.node.up && w.node.life == w.life {
+	s.after(simPlatformDelay, func() {
+		if w.node.up && w.node.generation == w.generation {
 			w.node.step(Answered{Page: page})
 		}
 	})
--- a/internal/config/start.go
+++ b/internal/config/start.go
@@ -3,31 +3,33 @@
 import "time"
 
 const (
-	// startPeers is how many peers a starting daemon asks at a time.
-	startPeers = 3
-	// startMost bounds the peers asked in one round: when a whole fleet starts,
-	// nobody has anything to give.
-	startMost = 9
-	// startRetry is how often a daemon without a configuration asks again.
-	startRetry = 2 * time.Second
+	// startBatchSize is the number of peers that a starting daemon pulls from at once.
+	startBatchSize = 3
+	// maxStartPeers bounds the peers queried in one round: when the whole fleet
+	// starts, no peer has a configuration.
+	maxStartPeers = 9
+	// startRetryInterval is the delay between rounds while a daemon has no
+	// configuration.
+	startRetryInterval = 2 * time.Second
 )
 
-// startState is the start: a daemon serves only after it has a configuration and
-// has asked the platform and peers. The platform may be stale: taking its word
-// alone would put a lower revision in force than the VM this one replaced had.
+// startState tracks the startup phase. A daemon serves only after it has a
+// configuration and has queried both the platform and peers: a stale platform
+// alone would put a lower revision in force than the replaced VM had.
 type startState struct {
 	done bool
-	// listed says that the peers in force are known.
-	listed  bool
-	tried   map[string]bool
-	answers int
-	retryAt time.Time
+	// peersKnown reports whether a configuration was held when Peers last arrived,
+	// so that the list comes from it.
+	peersKnown bool
+	tried      map[string]bool
+	answers    int
+	retryAt    time.Time
 }
 
-// advanceStart asks the next round of peers, or ends the start.
+// advanceStart pulls from the next batch of peers or completes the startup.
 func (s *Syncer) advanceStart() {
 	st := &s.start
-	if st.done || s.now.Before(st.retryAt) || s.pulling(starting) {
+	if st.done || s.now.Before(st.retryAt) || s.hasOpenPull(purposeStart) {
 		return
 	}
 	if st.answers == 0 && s.askStartPeers() {
@@ -37,30 +39,31 @@
 		return
 	}
 	if s.state.Revision() > 0 {
-		st.done = st.listed
+		st.done = st.peersKnown
 		return
 	}
 	st.tried = map[string]bool{s.opts.Address: true}
-	st.retryAt = s.now.Add(s.around(startRetry))
+	st.retryAt = s.now.Add(s.jitter(startRetryInterval))
 }
 
-// askStartPeers pulls everything from peers not asked yet; false when there are
-// none left.
+// askStartPeers starts a full pull from peers that have not been tried in this
+// round. It returns false if there are none left.
 func (s *Syncer) askStartPeers() bool {
 	tried := s.start.tried
 	asked := 0
 	for _, address := range s.startAddresses() {
-		if tried[address] || asked == startPeers || len(tried) > startMost {
+		if tried[address] || asked == startBatchSize || len(tried) > maxStartPeers {
 			continue
 		}
 		tried[address] = true
-		s.pull(address, 0, "", starting)
+		s.startPull(address, 0, "", purposeStart)
 		asked++
 	}
 	return asked > 0
 }
 
-// startAddresses is the seeds and the known peers, each in random order.
+// startAddresses returns the seeds followed by the known peers, each group in
+// random order.
 func (s *Syncer) startAddresses() []string {
 	out := append([]string(nil), s.opts.Seeds...)
 	s.shuffle(out)
--- a/internal/config/syncer.go
+++ b/internal/config/syncer.go
@@ -7,53 +7,54 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// Timing of the platform's reads. Delays are drawn around these values, so that
-// daemons that lost the platform at the same moment do not return together.
+// Timing of platform reads. Delays are jittered around these values, so that
+// daemons that lose the platform at the same moment do not retry in lockstep.
 const (
-	// watchWait is how long a watch waits for a change.
-	watchWait = 10 * time.Second
-	// readSpacing is the least time between two reads: a platform that answers
-	// every watch at once must not be read in a busy loop.
-	readSpacing = 200 * time.Millisecond
-	// readerBackoff bounds a reader's delay after failures: it adds to the time
-	// until a change is in force.
-	readerBackoff = 2 * time.Second
-	// quietBefore is how old a configuration may grow, unconfirmed by any
-	// reader, before a VM that is no reader reads for itself.
-	quietBefore = 30 * time.Second
-	// backoff bounds the delay of a VM that is no reader: a whole fleet may be
-	// in this state at once, when the platform is down.
-	backoff = 60 * time.Second
-	// fullEvery is how often a reader reads everything again. It repairs what a
-	// partial answer left out.
-	fullEvery = 5 * time.Minute
-	// pauseGap is a gap between two ticks that shows that the process stood
-	// still: changes may have passed it by.
-	pauseGap = time.Second
-	// maxDoublings keeps a growing delay from overflowing.
+	// watchTimeout is the long-poll duration of a watch.
+	watchTimeout = 10 * time.Second
+	// minReadInterval is the minimum time between two reads. It prevents a busy
+	// loop when the platform answers every watch immediately.
+	minReadInterval = 200 * time.Millisecond
+	// maxReaderBackoff bounds a reader's delay after failures, because that delay
+	// adds to the propagation delay of a change.
+	maxReaderBackoff = 2 * time.Second
+	// unconfirmedTimeout is the time without confirmation by any reader after
+	// which a VM that is not a reader reads the platform itself.
+	unconfirmedTimeout = 30 * time.Second
+	// maxBackoff bounds the delay of a VM that is not a reader. It is longer
+	// because the whole fleet may retry at once when the platform is down.
+	maxBackoff = 60 * time.Second
+	// fullReadInterval is the interval at which a reader reads all documents
+	// again. A full read recovers documents that a partial response left out.
+	fullReadInterval = 5 * time.Minute
+	// pauseThreshold is the gap between two ticks that indicates a paused process,
+	// which may have missed changes.
+	pauseThreshold = time.Second
+	// maxDoublings prevents the exponential backoff from overflowing.
 	maxDoublings = 16
 )
 
-// Options is what a Syncer needs.
+// Options configures a Syncer.
 type Options struct {
-	// VM, DataCentre and Address name this daemon.
+	// VM, DataCentre and Address identify this daemon.
 	VM         string
 	DataCentre string
 	Address    string
-	// Seeds are peer addresses known before the platform has given a list.
+	// Seeds are the peer addresses to use before the member list is known.
 	Seeds []string
-	// Random spreads delays; a fixed seed makes the Syncer deterministic.
+	// Random is the source of jitter and peer selection; a fixed seed makes the
+	// Syncer deterministic.
 	Random *rand.Rand
 }
 
-// Syncer decides when to read the platform and whom to ask. It is not safe for
-// concurrent use and does no I/O.
+// Syncer decides when to read the platform and which peers to pull from. It is not
+// safe for concurrent use and does no I/O.
 type Syncer struct {
 	opts  Options
 	state *State
 	now   time.Time
 	out   []Action
-	// lastTick is when time last passed.
+	// lastTick is the time of the last Tick.
 	lastTick time.Time
 
 	peers  []Peer
@@ -64,60 +65,60 @@
 	start    startState
 }
 
-// platformState is where this daemon stands with the platform.
+// platformState tracks this daemon's reads of the platform.
 type platformState struct {
-	open     *Read
-	opened   time.Time
+	openRead *Read
+	openedAt time.Time
 	nextRead time.Time
 	nextFull time.Time
-	// full is a read of everything under way, up to place; floor is the
-	// revision held when it began.
-	full     bool
-	place    uint64
-	floor    uint64
-	tried    bool
-	failures int
-	reason   FailureReason
-	// confirmed is when the platform last answered, here or, told by a peer, at
-	// another daemon.
+	// fullRead is set while a full read is in progress. fullAfter is the revision
+	// it has reached, fullStartRevision the revision held when it began.
+	fullRead          bool
+	fullAfter         uint64
+	fullStartRevision uint64
+	tried             bool
+	failures          int
+	reason            FailureReason
+	// confirmed is the time of the platform's last response to this daemon or, as
+	// reported by a peer, to another one.
 	confirmed time.Time
 }
 
-// NewSyncer starts with an empty State.
+// NewSyncer returns a Syncer with an empty State.
 func NewSyncer(now time.Time, opts Options) *Syncer {
 	s := &Syncer{opts: opts, state: New()}
 	s.pulls = newPullState()
 	s.start = startState{tried: map[string]bool{opts.Address: true}}
-	s.platform.nextFull = now.Add(s.around(fullEvery))
+	s.platform.nextFull = now.Add(s.jitter(fullReadInterval))
 	s.platform.confirmed = now
 	return s
 }
 
-// State is the documents held. Only Step changes it.
+// State returns the documents held. Only Step changes it.
 func (s *Syncer) State() *State { return s.state }
 
-// Reader tells whether this VM watches the platform.
+// Reader reports whether this VM watches the platform.
 func (s *Syncer) Reader() bool { return s.reader }
 
-// Started tells whether the platform and the peers have been asked, so that the
-// configuration held may be served by.
+// Started reports whether the startup is complete: the platform and the peers have
+// been queried, and the daemon may serve with its configuration.
 func (s *Syncer) Started() bool { return s.start.done }
 
-// PlatformAge is how long ago the platform confirmed the configuration.
+// PlatformAge returns the time since the platform confirmed the configuration.
 func (s *Syncer) PlatformAge(now time.Time) time.Duration {
 	return now.Sub(s.platform.confirmed)
 }
 
-// Confirmed is when the platform last confirmed the configuration.
+// Confirmed returns the time when the platform last confirmed the configuration.
 func (s *Syncer) Confirmed() time.Time { return s.platform.confirmed }
 
-// PlatformFailures is the number of reads that failed since the last that did
-// not, and why the last one did.
+// PlatformFailures returns the number of consecutive failed reads and the reason
+// of the last failure.
 func (s *Syncer) PlatformFailures() (int, FailureReason) {
 	return s.platform.failures, s.platform.reason
 }
 
-// Step takes an event in and returns what is to be done.
+// Step processes an event and returns the actions for the driver.
 func (s *Syncer) Step(now time.Time, event Event) []Action {
 	s.now = now
 	s.out = nil
@@ -127,47 +128,47 @@
 	case Peers:
 		s.setPeers(e.List)
 	case Heard:
-		s.heard(e.Address, e.Revision)
+		s.handleClaim(e.Address, e.Revision)
 	case Pulled:
-		s.pulled(e)
+		s.handlePulled(e)
 	case PullLost:
-		s.pullLost(e.ID, PullWasLost)
+		s.handlePullLost(e.ID, PullWasLost)
 	case Pushed:
-		s.merge(e.Page)
-		s.repair(e.Address, e.Page)
-		s.heard(e.Address, e.Page.Revision)
+		s.mergePage(e.Page)
+		s.repairIfDigestDiffers(e.Address, e.Page)
+		s.handleClaim(e.Address, e.Page.Revision)
 	case Answered:
-		s.answered(e.Page)
+		s.handleAnswered(e.Page)
 	case Failed:
-		s.failed(e.Reason)
+		s.handleFailed(e.Reason)
 	}
 	s.advanceStart()
 	return s.out
 }
 
-func (s *Syncer) do(a Action) { s.out = append(s.out, a) }
+func (s *Syncer) emit(a Action) { s.out = append(s.out, a) }
 
 func (s *Syncer) tick() {
-	if !s.lastTick.IsZero() && s.now.Sub(s.lastTick) >= pauseGap {
-		s.pulls.nextAsk = s.now
+	if !s.lastTick.IsZero() && s.now.Sub(s.lastTick) >= pauseThreshold {
+		s.pulls.nextPoll = s.now
 	}
 	s.lastTick = s.now
 	s.expirePulls()
 	s.readIfDue()
-	s.askIfDue()
-	s.chase()
+	s.pollIfDue()
+	s.pullHighestClaim()
 }
 
-// merge takes a page in. A reader passes on what was news to it, from wherever
-// it came.
-func (s *Syncer) merge(p Page) []*pb.PublishedDocument {
+// mergePage merges a page and returns the documents that changed the state. After
+// the startup, a reader pushes them to its data centre, whatever their source.
+func (s *Syncer) mergePage(p Page) []*pb.PublishedDocument {
 	revision := s.state.Revision()
 	news := s.state.Merge(p)
 	moved := s.state.Revision() > revision
 	if !moved && len(news) == 0 {
 		return nil
 	}
-	s.do(PutInForce{})
+	s.emit(PutInForce{})
 	switch {
 	case !s.reader || !s.start.done:
 	case moved:
@@ -180,12 +181,12 @@
 
 func (s *Syncer) setPeers(peers []Peer) {
 	s.peers = peers
-	s.start.listed = s.state.Revision() > 0
+	s.start.peersKnown = s.state.Revision() > 0
 	local := []Peer{{VM: s.opts.VM, DataCentre: s.opts.DataCentre, Address: s.opts.Address}}
-	local = append(local, s.local()...)
+	local = append(local, s.localPeers()...)
 	was := s.reader
 	s.reader = false
-	for _, p := range Readers(local) {
+	for _, p := range SelectReaders(local) {
 		s.reader = s.reader || p.VM == s.opts.VM
 	}
 	if s.reader && !was {
@@ -193,7 +194,7 @@
 	}
 }
 
-func (s *Syncer) local() []Peer {
+func (s *Syncer) localPeers() []Peer {
 	var out []Peer
 	for _, p := range s.peers {
 		if p.DataCentre == s.opts.DataCentre {
@@ -203,7 +204,7 @@
 	return out
 }
 
-func (s *Syncer) remote() []Peer {
+func (s *Syncer) remotePeers() []Peer {
 	var out []Peer
 	for _, p := range s.peers {
 		if p.DataCentre != s.opts.DataCentre {
@@ -213,63 +214,63 @@
 	return out
 }
 
-// readIfDue starts a read when one is wanted.
+// readIfDue starts a read if one is due and none is open.
 func (s *Syncer) readIfDue() {
 	p := &s.platform
-	if p.open != nil || s.now.Before(p.nextRead) || !s.wantsRead() {
+	if p.openRead != nil || s.now.Before(p.nextRead) || !s.shouldRead() {
 		return
 	}
-	if s.reader && !p.full && !s.now.Before(p.nextFull) {
-		p.full, p.place, p.floor = true, 0, s.state.Revision()
+	if s.reader && !p.fullRead && !s.now.Before(p.nextFull) {
+		p.fullRead, p.fullAfter, p.fullStartRevision = true, 0, s.state.Revision()
 	}
 	read := &Read{After: s.state.Revision()}
 	switch {
-	case p.full:
-		read.After = p.place
+	case p.fullRead:
+		read.After = p.fullAfter
 	case s.reader && p.tried && p.failures == 0:
-		read.Wait = s.around(watchWait)
+		read.Wait = s.jitter(watchTimeout)
 	}
-	p.open, p.opened = read, s.now
-	s.do(*read)
+	p.openRead, p.openedAt = read, s.now
+	s.emit(*read)
 }
 
-// wantsRead: everyone reads once at the start, and on until it has a
-// configuration; then readers watch, and others read only when no reader has
-// confirmed the configuration for long.
-func (s *Syncer) wantsRead() bool {
+// shouldRead reports whether this VM reads the platform. Every VM reads until it
+// has a configuration, at least once. After that, readers watch, and other VMs
+// read only if the configuration is unconfirmed for unconfirmedTimeout.
+func (s *Syncer) shouldRead() bool {
 	switch {
 	case s.reader || !s.platform.tried:
 		return true
 	case s.state.Revision() == 0:
 		return true
 	default:
-		return s.PlatformAge(s.now) >= quietBefore
+		return s.PlatformAge(s.now) >= unconfirmedTimeout
 	}
 }
 
-func (s *Syncer) answered(page Page) {
+func (s *Syncer) handleAnswered(page Page) {
 	p := &s.platform
-	if p.open == nil {
+	if p.openRead == nil {
 		return
 	}
-	page.After = p.open.After
-	if s.stale(page) {
-		p.full = false
-		s.failed(Stale)
-		s.merge(page)
+	page.After = p.openRead.After
+	if s.isStale(page) {
+		p.fullRead = false
+		s.handleFailed(Stale)
+		s.mergePage(page)
 		return
 	}
-	p.open, p.tried, p.failures = nil, true, 0
+	p.openRead, p.tried, p.failures = nil, true, 0
 	p.confirmed = s.now
-	s.planRead(page.More)
-	if p.full {
-		p.full, p.place = page.More, page.Revision
-		p.nextFull = s.now.Add(s.around(fullEvery))
+	s.scheduleRead(page.More)
+	if p.fullRead {
+		p.fullRead, p.fullAfter = page.More, page.Revision
+		p.nextFull = s.now.Add(s.jitter(fullReadInterval))
 	}
-	if s.anyRejected(s.merge(page)) {
-		// The platform no longer has the version before the rejected one; a
-		// peer may hold a later one of it than this VM does.
-		s.pulls.nextAsk = s.now
+	if s.anyRejected(s.mergePage(page)) {
+		// The platform no longer has the predecessor of the rejected version; a
+		// peer may hold a later predecessor than this VM does.
+		s.pulls.nextPoll = s.now
 	}
 }
 
@@ -282,46 +283,46 @@
 	return false
 }
 
-// stale tells whether the platform fell behind what it, or another of its
-// servers, has already given.
-func (s *Syncer) stale(page Page) bool {
-	if s.platform.full {
-		return !page.More && page.Revision < s.platform.floor
+// isStale reports whether a response is older than one that the platform, or
+// another of its servers, has already given.
+func (s *Syncer) isStale(page Page) bool {
+	if s.platform.fullRead {
+		return !page.More && page.Revision < s.platform.fullStartRevision
 	}
 	return page.Revision < page.After
 }
 
-func (s *Syncer) planRead(more bool) {
+func (s *Syncer) scheduleRead(more bool) {
 	p := &s.platform
 	switch {
 	case more:
 		p.nextRead = s.now
 	case s.reader:
-		p.nextRead = p.opened.Add(s.around(readSpacing))
+		p.nextRead = p.openedAt.Add(s.jitter(minReadInterval))
 	case s.state.Revision() == 0:
-		p.nextRead = s.now.Add(s.around(readerBackoff))
+		p.nextRead = s.now.Add(s.jitter(maxReaderBackoff))
 	default:
-		p.nextRead = s.now.Add(s.around(quietBefore))
+		p.nextRead = s.now.Add(s.jitter(unconfirmedTimeout))
 	}
 }
 
-func (s *Syncer) failed(reason FailureReason) {
+func (s *Syncer) handleFailed(reason FailureReason) {
 	p := &s.platform
-	if p.open == nil {
+	if p.openRead == nil {
 		return
 	}
-	p.open, p.tried, p.reason = nil, true, reason
+	p.openRead, p.tried, p.reason = nil, true, reason
 	p.failures++
-	s.do(CountFailure{reason})
-	most := backoff
+	s.emit(CountFailure{reason})
+	most := maxBackoff
 	if s.reader || s.state.Revision() == 0 {
-		most = readerBackoff
+		most = maxReaderBackoff
 	}
-	delay := min(most, readSpacing<<min(p.failures, maxDoublings))
-	p.nextRead = s.now.Add(s.around(delay))
+	delay := min(most, minReadInterval<<min(p.failures, maxDoublings))
+	p.nextRead = s.now.Add(s.jitter(delay))
 }
 
-// around draws a delay from 3/4 to 5/4 of d.
-func (s *Syncer) around(d time.Duration) time.Duration {
+// jitter returns a random duration in [3/4 d, 5/4 d).
+func (s *Syncer) jitter(d time.Duration) time.Duration {
 	return d*3/4 + time.Duration(s.opts.Random.Int64N(int64(d/2)))
 }
--- a/internal/config/syncer_test.go
+++ b/internal/config/syncer_test.go
@@ -8,17 +8,17 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// target is the time within which a change must be in force everywhere.
-const target = 11 * time.Second
+// changeDeadline is the time within which a change must be in force everywhere.
+const changeDeadline = 11 * time.Second
 
-// started is a fleet that holds document a at revision 1 and has settled.
-func started(t testing.TB, nodes, dataCentres int) *sim {
+// newStartedSim is a fleet that holds document a at revision 1 and has settled.
+func newStartedSim(t testing.TB, nodes, dataCentres int) *sim {
 	t.Helper()
 	s := newSim(nodes, dataCentres, 7)
 	s.publish(good, "a")
 	s.startAll()
 	s.run(5 * time.Second)
-	s.tellPeers()
+	s.updatePeers()
 	s.run(5 * time.Second)
 	for _, n := range s.nodes {
 		if !n.syncer.Started() || n.syncer.State().InForce("a") != 1 {
@@ -28,7 +28,7 @@
 	return s
 }
 
-func (s *sim) mustReach(t testing.TB, name string, rev uint64, limit time.Duration) time.Duration {
+func (s *sim) requireInForce(t testing.TB, name string, rev uint64, limit time.Duration) time.Duration {
 	t.Helper()
 	took, ok := s.untilInForce(name, rev, limit)
 	if !ok {
@@ -37,9 +37,9 @@
 	return took
 }
 
-func (s *sim) mustHold(t testing.TB) {
+func (s *sim) requireNoViolations(t testing.TB) {
 	t.Helper()
-	for _, fault := range s.broken {
+	for _, fault := range s.violations {
 		t.Error(fault)
 	}
 }
@@ -47,11 +47,11 @@
 func TestChangeIsInForceEverywhereAndReadsDoNotGrow(t *testing.T) {
 	for _, nodes := range []int{10, 50, 150, 550} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
-			s := started(t, nodes, 5)
+			s := newStartedSim(t, nodes, 5)
 			reads := s.platform.reads
 			const changes = 3
 			for range changes {
-				took := s.mustReach(t, "a", s.publish(good, "a"), target)
+				took := s.requireInForce(t, "a", s.publish(good, "a"), changeDeadline)
 				t.Logf("in force everywhere after %v", took)
 				s.run(10 * time.Second)
 			}
@@ -60,7 +60,7 @@
 			if most := 5.0 * ReadersPerDataCentre; perSecond > most {
 				t.Errorf("%.1f reads a second, more than one for each reader", perSecond)
 			}
-			s.mustHold(t)
+			s.requireNoViolations(t)
 		})
 	}
 }
@@ -69,17 +69,17 @@
 // Sequence: every message that tells of a change unasked is lost.
 // Cause: nothing asks by itself.
 func TestEveryPushIsLost(t *testing.T) {
-	s := started(t, 150, 5)
+	s := newStartedSim(t, 150, 5)
 	s.losePushes = true
 	for range 3 {
-		t.Logf("in force everywhere after %v", s.mustReach(t, "a", s.publish(good, "a"), target))
+		t.Logf("in force everywhere after %v", s.requireInForce(t, "a", s.publish(good, "a"), changeDeadline))
 		s.run(10 * time.Second)
 	}
-	s.mustHold(t)
+	s.requireNoViolations(t)
 }
 
 func TestReaders(t *testing.T) {
-	s := started(t, 50, 5)
+	s := newStartedSim(t, 50, 5)
 	readers := map[string]int{}
 	for _, n := range s.nodes {
 		if n.syncer.Reader() {
@@ -98,14 +98,14 @@
 // has noticed.
 // Cause: the others wait for their readers alone.
 func TestBothReadersOfADataCentreAreLost(t *testing.T) {
-	s := started(t, 50, 5)
+	s := newStartedSim(t, 50, 5)
 	for _, n := range s.nodes {
 		if n.dc == "dc-0" && n.syncer.Reader() {
 			n.stop()
 		}
 	}
-	s.mustReach(t, "a", s.publish(good, "a"), target)
-	s.mustHold(t)
+	s.requireInForce(t, "a", s.publish(good, "a"), changeDeadline)
+	s.requireNoViolations(t)
 }
 
 // Symptom: a new contract is missing on the VMs of one data centre for as long
@@ -113,21 +113,21 @@
 // Sequence: the data centre loses the platform, not its peers; a change follows.
 // Cause: taking configuration from the platform alone.
 func TestPlatformIsLostForOneDataCentre(t *testing.T) {
-	s := started(t, 50, 5)
-	s.platform.dark["dc-1"] = true
+	s := newStartedSim(t, 50, 5)
+	s.platform.unreachableFrom["dc-1"] = true
 	s.run(time.Minute)
-	s.mustReach(t, "a", s.publish(good, "a"), target)
+	s.requireInForce(t, "a", s.publish(good, "a"), changeDeadline)
 	if s.failures(Unreachable) == 0 {
 		t.Error("no failure was counted")
 	}
-	s.mustHold(t)
+	s.requireNoViolations(t)
 }
 
 // Symptom: VMs stop serving, or the platform is overrun when it comes back.
 // Sequence: the platform is down for five minutes and comes back with a change.
 // Cause: retrying in step, or at a rate that grows with the fleet.
 func TestPlatformIsDown(t *testing.T) {
-	s := started(t, 150, 5)
+	s := newStartedSim(t, 150, 5)
 	s.platform.fails = func() FailureReason { return Refused }
 	s.run(time.Minute)
 	reads := s.platform.reads
@@ -139,8 +139,8 @@
 	}
 	rev := s.publish(good, "a")
 	s.platform.fails = nil
-	s.mustReach(t, "a", rev, target)
-	s.mustHold(t)
+	s.requireInForce(t, "a", rev, changeDeadline)
+	s.requireNoViolations(t)
 }
 
 // Symptom: VMs fall back to a contract that operators had replaced.
@@ -148,9 +148,9 @@
 // meanwhile VMs are replaced, and a reader restarts; then it catches up.
 // Cause: taking the platform's word for the newest revision.
 func TestPlatformIsStale(t *testing.T) {
-	s := started(t, 30, 3)
-	s.mustReach(t, "a", s.publish(good, "a"), target)
-	newest := s.mustPublishEverywhere(t)
+	s := newStartedSim(t, 30, 3)
+	s.requireInForce(t, "a", s.publish(good, "a"), changeDeadline)
+	newest := s.publishEverywhere(t)
 	s.platform.served = func() uint64 { return 1 }
 	for _, n := range s.nodes[:4] {
 		n.stop()
@@ -170,13 +170,13 @@
 		t.Error("no stale answer was counted")
 	}
 	s.platform.served = nil
-	s.mustReach(t, "a", s.publish(good, "a"), target)
-	s.mustHold(t)
+	s.requireInForce(t, "a", s.publish(good, "a"), changeDeadline)
+	s.requireNoViolations(t)
 }
 
-func (s *sim) mustPublishEverywhere(t testing.TB) uint64 {
+func (s *sim) publishEverywhere(t testing.TB) uint64 {
 	rev := s.publish(good, "a")
-	s.mustReach(t, "a", rev, target)
+	s.requireInForce(t, "a", rev, changeDeadline)
 	return rev
 }
 
@@ -184,7 +184,7 @@
 // Sequence: every answer is drawn: an error, an older revision, a good one.
 // Cause: trusting an answer because the last one was good.
 func TestPlatformFlaps(t *testing.T) {
-	s := started(t, 30, 3)
+	s := newStartedSim(t, 30, 3)
 	s.platform.fails = func() FailureReason {
 		return []FailureReason{"", "", Refused, Malformed, Unreachable}[s.random.IntN(5)]
 	}
@@ -198,8 +198,8 @@
 	if perSecond := float64(s.platform.reads-reads) / 60; perSecond > 5*3*ReadersPerDataCentre {
 		t.Errorf("%.1f reads a second", perSecond)
 	}
-	s.mustReach(t, "a", s.publish(good, "a"), 2*target)
-	s.mustHold(t)
+	s.requireInForce(t, "a", s.publish(good, "a"), 2*changeDeadline)
+	s.requireNoViolations(t)
 }
 
 // Symptom: one VM never gets a changed document, though all report one revision.
@@ -207,7 +207,7 @@
 // of a whole answer.
 // Cause: the watermark has passed the document, so it is never asked for again.
 func TestPartialAnswerIsRepaired(t *testing.T) {
-	s := started(t, 30, 3)
+	s := newStartedSim(t, 30, 3)
 	dropped := 0
 	s.platform.drop = func(n *simNode, d *pb.PublishedDocument) bool {
 		if n.dc == "dc-0" && d.Name == "b" {
@@ -217,11 +217,11 @@
 		return false
 	}
 	rev := s.publish(good, "b")
-	s.mustReach(t, "b", rev, 2*time.Minute)
+	s.requireInForce(t, "b", rev, 2*time.Minute)
 	if dropped == 0 || s.count(PullRepaired) == 0 {
 		t.Errorf("dropped %d times, %d repairs: the test did not provoke the fault", dropped, s.count(PullRepaired))
 	}
-	s.mustHold(t)
+	s.requireNoViolations(t)
 }
 
 // Symptom: a replaced VM has no contract for a customer, and its status shows
@@ -231,15 +231,15 @@
 // Cause: taking the document from the platform alone, which no longer has the
 // version in force.
 func TestRejectedRevisionOnAReplacedVM(t *testing.T) {
-	s := started(t, 12, 3)
+	s := newStartedSim(t, 12, 3)
 	s.publish(bad, "a")
-	s.run(target)
+	s.run(changeDeadline)
 	for _, n := range s.nodes[1:5] {
 		n.stop()
 		s.run(time.Second)
 		n.start()
 	}
-	s.run(target)
+	s.run(changeDeadline)
 	for _, n := range s.nodes {
 		st := n.syncer.State()
 		rejected := st.Rejected()
@@ -247,7 +247,7 @@
 			t.Errorf("%s: started %v, in force %d, rejected %v", n.peer().VM, n.syncer.Started(), st.InForce("a"), rejected)
 		}
 	}
-	s.mustHold(t)
+	s.requireNoViolations(t)
 }
 
 // Symptom: after a partition one side keeps its configuration.
@@ -255,22 +255,22 @@
 // of them rejected; the network heals.
 // Cause: pulling only what is heard once.
 func TestPartitionHeals(t *testing.T) {
-	s := started(t, 30, 3)
+	s := newStartedSim(t, 30, 3)
 	s.cut = func(from, to string) bool { return (from == "dc-2") != (to == "dc-2") }
-	s.platform.dark["dc-2"] = true
+	s.platform.unreachableFrom["dc-2"] = true
 	s.run(20 * time.Second)
 	s.publish(good, "a")
 	rev := s.publish(good, "b")
-	s.run(target)
+	s.run(changeDeadline)
 	s.publish(bad, "b")
 	s.run(10 * time.Minute)
 	if s.allInForce("b", rev) {
 		t.Fatal("the partition let the change through")
 	}
 	s.cut = func(string, string) bool { return false }
-	s.platform.dark["dc-2"] = false
-	s.mustReach(t, "b", rev, target)
-	s.mustHold(t)
+	s.platform.unreachableFrom["dc-2"] = false
+	s.requireInForce(t, "b", rev, changeDeadline)
+	s.requireNoViolations(t)
 }
 
 // Symptom: the earlier of two edits stays in force on some VMs.
@@ -278,14 +278,14 @@
 // of both through different ways, the later one first.
 // Cause: the order of arrival decides.
 func TestTwoEditsInQuickSuccession(t *testing.T) {
-	s := started(t, 50, 5)
+	s := newStartedSim(t, 50, 5)
 	for range 10 {
 		s.publish(good, "a")
 		s.run(time.Millisecond)
 		last := s.publish(good, "a")
-		s.mustReach(t, "a", last, target)
+		s.requireInForce(t, "a", last, changeDeadline)
 	}
-	s.mustHold(t)
+	s.requireNoViolations(t)
 }
 
 // Symptom: daemons of two releases send each other the whole configuration with
@@ -294,7 +294,7 @@
 // the other half accepts, so their digests differ for good.
 // Cause: repairing a difference that no pull can settle.
 func TestDifferingVerdictsDoNotCauseAStorm(t *testing.T) {
-	s := started(t, 20, 2)
+	s := newStartedSim(t, 20, 2)
 	odd := good("b", 9)
 	for i, n := range s.nodes {
 		if i%4 < 2 {
@@ -318,7 +318,7 @@
 // Sequence: a peer's heartbeat claims a revision far above all others.
 // Cause: a claim is pursued until it is met.
 func TestClaimThatFallsShort(t *testing.T) {
-	s := started(t, 10, 1)
+	s := newStartedSim(t, 10, 1)
 	n := s.nodes[3]
 	messages := s.messages
 	n.step(Heard{Address: s.nodes[4].peer().Address, Revision: 1 << 60})
@@ -326,7 +326,7 @@
 	if n.counted[PullFellShort] != 1 || s.messages-messages > 20 {
 		t.Errorf("counted %v, %d messages", n.counted, s.messages-messages)
 	}
-	s.mustReach(t, "a", s.publish(good, "a"), target)
+	s.requireInForce(t, "a", s.publish(good, "a"), changeDeadline)
 }
 
 func TestStart(t *testing.T) {
@@ -340,9 +340,9 @@
 	}{
 		{"platform and peers", func(*simPlatformService) {}, true, true, 2},
 		{"platform alone", func(*simPlatformService) {}, false, true, 2},
-		{"peers alone", func(p *simPlatformService) { p.dark["dc-0"] = true }, true, true, 2},
+		{"peers alone", func(p *simPlatformService) { p.unreachableFrom["dc-0"] = true }, true, true, 2},
 		{"a stale platform and peers", func(p *simPlatformService) { p.served = func() uint64 { return 1 } }, true, true, 2},
-		{"neither", func(p *simPlatformService) { p.dark["dc-0"] = true }, false, false, 0},
+		{"neither", func(p *simPlatformService) { p.unreachableFrom["dc-0"] = true }, false, false, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -362,7 +362,7 @@
 			if n.syncer.Started() != tt.started || n.startedWith != tt.inForce {
 				t.Errorf("started %v, with a at %d", n.syncer.Started(), n.startedWith)
 			}
-			s.mustHold(t)
+			s.requireNoViolations(t)
 		})
 	}
 }
@@ -374,12 +374,12 @@
 	for _, lost := range []bool{false, true} {
 		for _, nodes := range []int{10, 50, 150, 550} {
 			b.Run(fmt.Sprintf("members=%d/pushes-lost=%v", nodes, lost), func(b *testing.B) {
-				s := started(b, nodes, 5)
+				s := newStartedSim(b, nodes, 5)
 				s.losePushes = lost
 				s.bytes, s.messages, s.platform.reads = 0, 0, 0
 				var worst, sum time.Duration
 				for b.Loop() {
-					took := s.mustReach(b, "a", s.publish(good, "a"), time.Minute)
+					took := s.requireInForce(b, "a", s.publish(good, "a"), time.Minute)
 					worst, sum = max(worst, took), sum+took
 					s.run(between - took)
 				}
