--- a/internal/config/events.go
+++ b/internal/config/events.go
@@ -25,7 +25,7 @@
 	Revision uint64
 }
 
-// Pulled is the answer to a Pull.
+// Pulled is the response to a Pull.
 type Pulled struct {
 	ID   uint64
 	Page Page
@@ -106,7 +106,7 @@
 type PutInForce struct{}
 
 // Count increments the metric of a pull event.
-type Count struct{ Event Counted }
+type Count struct{ Event PullEvent }
 
 func (Read) action()         {}
 func (Pull) action()         {}
@@ -118,18 +118,18 @@
 // CountFailure increments the metric of failed reads.
 type CountFailure struct{ Reason FailureReason }
 
-// Counted is the kind of pull event in a Count.
-type Counted string
+// PullEvent is the kind of pull event in a Count.
+type PullEvent string
 
 // The pull events, spelled as in metrics.
 const (
-	PullTimedOut  Counted = "timed_out"
-	PullWasLost   Counted = "lost"
-	PullRepaired  Counted = "repaired"
-	PullDiffers   Counted = "differs"
-	PullLate      Counted = "late"
-	PullFellShort Counted = "fell_short"
+	PullTimedOut  PullEvent = "timed_out"
+	PullWasLost   PullEvent = "lost"
+	PullRepaired  PullEvent = "repaired"
+	PullDiffers   PullEvent = "differs"
+	PullLate      PullEvent = "late"
+	PullFellShort PullEvent = "fell_short"
 )
 
 // CountedEvents lists every pull event.
-var CountedEvents = []Counted{PullTimedOut, PullWasLost, PullRepaired, PullDiffers, PullLate, PullFellShort}
+var CountedEvents = []PullEvent{PullTimedOut, PullWasLost, PullRepaired, PullDiffers, PullLate, PullFellShort}
--- a/internal/config/pairs_test.go
+++ b/internal/config/pairs_test.go
@@ -8,14 +8,14 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// simFault starts a failure and returns what ends it.
+// simFault is a failure that start injects and the returned function removes.
 type simFault struct {
 	name  string
 	start func(s *sim) (heal func())
 }
 
-func restartWhere(s *sim, pick func(*simNode) bool) {
-	for _, n := range s.nodes {
+func restartWhere(s *sim, pick func(*simVM) bool) {
+	for _, n := range s.vms {
 		if n.up && pick(n) {
 			n.stop()
 			s.after(time.Duration(s.random.Int64N(int64(20*time.Second))), func() {
@@ -44,8 +44,8 @@
 		s.platform.served = func() uint64 { return rev }
 		return func() { s.platform.served = nil }
 	}},
-	{"answers in part", func(s *sim) func() {
-		s.platform.drop = func(n *simNode, d *pb.PublishedDocument) bool { return n.dc == "dc-0" && d.Name == "b" }
+	{"partial responses", func(s *sim) func() {
+		s.platform.drop = func(n *simVM, d *pb.PublishedDocument) bool { return n.dc == "dc-0" && d.Name == "b" }
 		return func() { s.platform.drop = nil }
 	}},
 	{"data centre without platform", func(s *sim) func() {
@@ -57,11 +57,11 @@
 		return func() { s.cut = func(string, string) bool { return false } }
 	}},
 	{"readers replaced", func(s *sim) func() {
-		restartWhere(s, func(n *simNode) bool { return n.syncer.Reader() })
+		restartWhere(s, func(n *simVM) bool { return n.syncer.Reader() })
 		return func() {}
 	}},
 	{"a data centre replaced", func(s *sim) func() {
-		restartWhere(s, func(n *simNode) bool { return n.dc == "dc-0" })
+		restartWhere(s, func(n *simVM) bool { return n.dc == "dc-0" })
 		return func() {}
 	}},
 	{"pushes lost", func(s *sim) func() {
@@ -74,12 +74,11 @@
 	}},
 }
 
-// Symptom: after two failures at once some VMs keep a lower revision than
-// others, or one goes back.
-// Sequence: each pair of the failures above, with changes all the while; then
-// both end.
-// Cause: a way to learn of a change that only works while the others do.
-func TestTwoFaultsAtOnce(t *testing.T) {
+// Guards against VMs that stay at a lower revision than others, or revert to an
+// older one, after two simultaneous failures. Every pair of the failures above is
+// active while changes are published; then both end. The fault arises if one
+// propagation path works only while the others do.
+func TestSimultaneousFaults(t *testing.T) {
 	for i, first := range simFaults {
 		for j, second := range simFaults[i+1:] {
 			t.Run(first.name+" and "+second.name, func(t *testing.T) {
@@ -106,14 +105,15 @@
 	}
 }
 
-// requireConverged asserts that a last change is in force everywhere in time, and that
-// soon all VMs hold the same and the highest.
+// requireConverged asserts that a final change is in force on every VM within
+// changeDeadline, and that all VMs then hold the same versions, none of them above
+// the last valid one.
 func (s *sim) requireConverged(t *testing.T) {
 	t.Helper()
 	s.requireInForce(t, "c", s.publish(good, "c"), changeDeadline)
 	s.run(3 * pollInterval)
-	want := s.nodes[0].syncer.State()
-	for _, n := range s.nodes {
+	want := s.vms[0].syncer.State()
+	for _, n := range s.vms {
 		got := n.syncer.State()
 		if !n.syncer.Started() || got.Digest() != want.Digest() || got.Revision() != want.Revision() {
 			t.Errorf("%s (started %v) holds revision %d, others %d; digests equal: %v",
@@ -121,7 +121,7 @@
 		}
 		for _, name := range []string{"a", "b", "c"} {
 			if last := s.platform.history.lastGood(name); got.InForce(name) > last {
-				t.Errorf("%s has %s at %d, above all", n.peer().VM, name, got.InForce(name))
+				t.Errorf("%s has %s at %d, above the last valid revision", n.peer().VM, name, got.InForce(name))
 			}
 		}
 	}
@@ -137,17 +137,17 @@
 	return last
 }
 
-// Symptom: a VM that was paused works by an old configuration for seconds.
-// Sequence: the process stands still, changes pass it by, it wakes.
-// Cause: waiting for the next heartbeat, or for its turn to ask.
-func TestAskAtOnceAfterAPause(t *testing.T) {
+// Guards against a VM that serves with an old configuration for seconds after a
+// pause of its process, during which it missed changes, because it waits for the
+// next heartbeat or poll.
+func TestPollImmediatelyAfterPause(t *testing.T) {
 	s := newStartedSim(t, 6, 1)
-	n := s.nodes[2]
+	n := s.vms[2]
 	wake := s.now.Add(3 * time.Second)
 	for _, a := range n.syncer.Step(wake, Tick{}) {
 		if _, ok := a.(Pull); ok {
 			return
 		}
 	}
-	t.Error(fmt.Sprint("nobody was asked at the first tick after ", 3*time.Second))
+	t.Error(fmt.Sprint("no peer was queried at the first tick after ", 3*time.Second))
 }
--- a/internal/config/pulls.go
+++ b/internal/config/pulls.go
@@ -187,7 +187,7 @@
 	switch o.purpose {
 	case purposeStart:
 		if e.Page.Revision > 0 {
-			s.start.answers++
+			s.start.responses++
 		}
 	case purposePoll:
 		s.pulls.failedPolls = 0
@@ -244,7 +244,7 @@
 	p.unresolved[difference] = true
 }
 
-func (s *Syncer) handlePullLost(id uint64, outcome Counted) {
+func (s *Syncer) handlePullLost(id uint64, outcome PullEvent) {
 	o := s.pulls.open[id]
 	if o == nil {
 		return
@@ -262,14 +262,14 @@
 }
 
 func (s *Syncer) expirePulls() {
-	var late []uint64
+	var expired []uint64
 	for id, o := range s.pulls.open {
 		if !s.now.Before(o.deadline) {
-			late = append(late, id)
+			expired = append(expired, id)
 		}
 	}
-	sort.Slice(late, func(i, j int) bool { return late[i] < late[j] })
-	for _, id := range late {
+	sort.Slice(expired, func(i, j int) bool { return expired[i] < expired[j] })
+	for _, id := range expired {
 		s.handlePullLost(id, PullTimedOut)
 	}
 }
--- a/internal/config/sim_test.go
+++ b/internal/config/sim_test.go
@@ -11,37 +11,37 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// Times of the simulated network, one way.
+// Timing of the simulated fleet. Network delays are one-way.
 const (
 	simLocalDelay    = time.Millisecond
 	simRemoteDelay   = 12 * time.Millisecond
 	simPlatformDelay = 3 * time.Millisecond
 	simTick          = 100 * time.Millisecond
 	simGossip        = time.Second
-	// simMembershipDelay is how long it takes until the peers know that a VM is gone.
+	// simMembershipDelay is the time until the peers detect that a VM is gone.
 	simMembershipDelay = 5 * time.Second
 )
 
-// sim is a fleet of Syncers over a fake network in simulated time. It knows
-// nothing of their rules; heartbeats are one probe a second to one random peer,
-// by which both sides learn each other's revision.
+// sim runs a fleet of Syncers over a fake network in simulated time, independently
+// of their rules. Each VM sends one heartbeat a second to a random peer, and both
+// sides learn each other's revision from it.
 type sim struct {
 	now      time.Time
 	random   *rand.Rand
 	events   simEvents
 	sequence uint64
-	nodes    []*simNode
+	vms      []*simVM
 	platform *simPlatformService
-	// cut tells whether a message between two data centres is lost.
+	// cut reports whether messages between two data centres are lost.
 	cut func(from, to string) bool
-	// bytes and messages between daemons, heartbeats left out.
+	// bytes and messages count the traffic between daemons without heartbeats.
 	bytes, messages int
-	// losePushes loses every push.
+	// losePushes drops every push.
 	losePushes bool
 	violations []string
 }
 
-type simNode struct {
+type simVM struct {
 	sim        *sim
 	id         int
 	dc         string
@@ -49,13 +49,14 @@
 	up         bool
 	syncer     *Syncer
 	inForce    map[string]uint64
-	counted    map[Counted]int
+	counted    map[PullEvent]int
 	failed     map[FailureReason]int
-	// startedWith is the revision of document a when it began to serve.
+	// startedWith is the revision of document a in force when the VM became
+	// ready to serve.
 	startedWith uint64
 }
 
-// simPlatformService is the platform: a history and the ways it fails.
+// simPlatformService is the platform: its history and injected failures.
 type simPlatformService struct {
 	history  history
 	revision uint64
@@ -63,16 +64,16 @@
 	waiting  []simWatch
 	// served, when set, hides every revision above it.
 	served func() uint64
-	// fails, when set, may make a read fail.
+	// fails, when set, returns the reason why a read fails, or "".
 	fails func() FailureReason
-	// drop, when set, leaves a document out of answers.
-	drop func(n *simNode, d *pb.PublishedDocument) bool
-	// unreachableFrom data centres cannot reach it.
+	// drop, when set, reports whether a document is left out of a response.
+	drop func(n *simVM, d *pb.PublishedDocument) bool
+	// unreachableFrom holds the data centres that cannot reach the platform.
 	unreachableFrom map[string]bool
 }
 
 type simWatch struct {
-	node       *simNode
+	vm         *simVM
 	generation int
 	after      uint64
 	until      time.Time
@@ -101,30 +102,30 @@
 	return last
 }
 
-// newSim makes a fleet that has not started, spread over data centres.
-func newSim(nodes, dataCentres int, seed uint64) *sim {
+// newSim returns a fleet of stopped VMs, distributed over the data centres.
+func newSim(vms, dataCentres int, seed uint64) *sim {
 	s := &sim{
 		now:      time.Unix(1_000_000, 0),
 		random:   rand.New(rand.NewPCG(seed, 1)),
 		platform: &simPlatformService{unreachableFrom: map[string]bool{}},
 		cut:      func(string, string) bool { return false },
 	}
-	for i := range nodes {
-		s.nodes = append(s.nodes, &simNode{sim: s, id: i, dc: fmt.Sprintf("dc-%d", i%dataCentres)})
+	for i := range vms {
+		s.vms = append(s.vms, &simVM{sim: s, id: i, dc: fmt.Sprintf("dc-%d", i%dataCentres)})
 	}
 	return s
 }
 
-func (n *simNode) peer() Peer {
+func (n *simVM) peer() Peer {
 	return Peer{VM: fmt.Sprintf("vm-%d", n.id), DataCentre: n.dc, Address: fmt.Sprintf("address-%d", n.id)}
 }
 
-func (s *sim) find(address string) *simNode {
+func (s *sim) find(address string) *simVM {
 	var id int
-	if _, err := fmt.Sscanf(address, "address-%d", &id); err != nil || id >= len(s.nodes) {
+	if _, err := fmt.Sscanf(address, "address-%d", &id); err != nil || id >= len(s.vms) {
 		return nil
 	}
-	return s.nodes[id]
+	return s.vms[id]
 }
 
 func (s *sim) after(d time.Duration, run func()) {
@@ -132,7 +133,7 @@
 	heap.Push(&s.events, simEvent{at: s.now.Add(d), sequence: s.sequence, run: run})
 }
 
-// run lets simulated time pass.
+// run advances simulated time by d and runs the events that are due.
 func (s *sim) run(d time.Duration) {
 	end := s.now.Add(d)
 	for len(s.events) > 0 && !s.events[0].at.After(end) {
@@ -143,37 +144,37 @@
 	s.now = end
 }
 
-// startAll starts every VM within a second.
+// startAll starts every VM at a random time within the next second.
 func (s *sim) startAll() {
-	for _, n := range s.nodes {
+	for _, n := range s.vms {
 		s.after(time.Duration(s.random.Int64N(int64(time.Second))), func() { n.start() })
 	}
 }
 
-// start begins a life of a VM that holds nothing.
-func (n *simNode) start() {
+// start starts a new generation of the VM with an empty state.
+func (n *simVM) start() {
 	s := n.sim
 	n.generation++
 	n.up = true
 	n.startedWith = 0
-	n.inForce, n.counted, n.failed = map[string]uint64{}, map[Counted]int{}, map[FailureReason]int{}
+	n.inForce, n.counted, n.failed = map[string]uint64{}, map[PullEvent]int{}, map[FailureReason]int{}
 	me := n.peer()
 	n.syncer = NewSyncer(s.now, Options{
 		VM: me.VM, DataCentre: me.DataCentre, Address: me.Address,
-		Seeds:  []string{s.nodes[0].peer().Address, s.nodes[len(s.nodes)/2].peer().Address},
+		Seeds:  []string{s.vms[0].peer().Address, s.vms[len(s.vms)/2].peer().Address},
 		Random: rand.New(rand.NewPCG(uint64(n.id), uint64(n.generation))),
 	})
 	n.every(simTick, func() { n.step(Tick{}) })
 	n.every(simGossip, n.heartbeat)
 }
 
-// stop ends a VM at once; its peers know after a while.
-func (n *simNode) stop() {
+// stop crashes the VM; its peers detect it after simMembershipDelay.
+func (n *simVM) stop() {
 	n.up = false
 	n.sim.after(simMembershipDelay, n.sim.updatePeers)
 }
 
-func (n *simNode) every(d time.Duration, run func()) {
+func (n *simVM) every(d time.Duration, run func()) {
 	life := n.generation
 	var again func()
 	again = func() {
@@ -185,18 +186,18 @@
 	n.sim.after(time.Duration(n.sim.random.Int64N(int64(d))), again)
 }
 
-// updatePeers gives every VM that knows the list the live members.
+// updatePeers sends the live members to every VM that has a configuration.
 func (s *sim) updatePeers() {
-	for _, n := range s.nodes {
+	for _, n := range s.vms {
 		if n.up && n.syncer.State().Revision() > 0 {
 			n.step(Peers{List: s.livePeers(n)})
 		}
 	}
 }
 
-func (s *sim) livePeers(except *simNode) []Peer {
+func (s *sim) livePeers(except *simVM) []Peer {
 	var out []Peer
-	for _, n := range s.nodes {
+	for _, n := range s.vms {
 		if n.up && n != except {
 			out = append(out, n.peer())
 		}
@@ -204,8 +205,9 @@
 	return out
 }
 
-// send carries a message to another VM, or runs lost after a refused connection.
-func (s *sim) send(from, to *simNode, size int, deliver, lost func()) {
+// send delivers a message to another VM, or calls lost if that VM is down. A
+// message across a partition is dropped silently.
+func (s *sim) send(from, to *simVM, size int, deliver, lost func()) {
 	s.messages++
 	s.bytes += size
 	delay := simLocalDelay
@@ -225,9 +227,9 @@
 	})
 }
 
-// heartbeat tells a random peer and this VM each other's revision.
-func (n *simNode) heartbeat() {
-	to := n.sim.nodes[n.sim.random.IntN(len(n.sim.nodes))]
+// heartbeat exchanges revisions between this VM and a random peer.
+func (n *simVM) heartbeat() {
+	to := n.sim.vms[n.sim.random.IntN(len(n.sim.vms))]
 	if to == n || !to.up || n.sim.cut(n.dc, to.dc) {
 		return
 	}
@@ -235,13 +237,13 @@
 	n.sim.after(2*simRemoteDelay, func() { n.receiveHeartbeat(to) })
 }
 
-func (n *simNode) receiveHeartbeat(from *simNode) {
+func (n *simVM) receiveHeartbeat(from *simVM) {
 	if n.up && from.up {
 		n.step(Heard{Address: from.peer().Address, Revision: from.syncer.State().Revision()})
 	}
 }
 
-func (n *simNode) step(e Event) {
+func (n *simVM) step(e Event) {
 	started := n.syncer.Started()
 	actions := n.syncer.Step(n.sim.now, e)
 	for _, a := range actions {
@@ -253,7 +255,7 @@
 	}
 }
 
-func (n *simNode) perform(a Action) {
+func (n *simVM) perform(a Action) {
 	switch a := a.(type) {
 	case Read:
 		n.read(a)
@@ -272,12 +274,12 @@
 	}
 }
 
-// check asserts that nothing in force went back.
-func (n *simNode) check() {
+// check asserts that no document reverts to a lower revision.
+func (n *simVM) check() {
 	for name := range n.syncer.State().entries {
 		got := n.syncer.State().InForce(name)
 		if got < n.inForce[name] {
-			n.sim.recordViolation("%s: %s went back from %d to %d", n.peer().VM, name, n.inForce[name], got)
+			n.sim.recordViolation("%s: %s reverted from %d to %d", n.peer().VM, name, n.inForce[name], got)
 		}
 		n.inForce[name] = got
 	}
@@ -287,7 +289,7 @@
 	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
-func (n *simNode) pull(a Pull) {
+func (n *simVM) pull(a Pull) {
 	to, life := n.sim.find(a.Address), n.generation
 	lost := func() {
 		n.sim.after(simLocalDelay, func() {
@@ -309,7 +311,7 @@
 	}, lost)
 }
 
-func (n *simNode) push(to *simNode, page Page) {
+func (n *simVM) push(to *simVM, page Page) {
 	n.sim.send(n, to, pageSize(page), func() {
 		if n.sim.losePushes {
 			return
@@ -325,7 +327,7 @@
 	})
 }
 
-// publish puts a version in the history and answers the watches.
+// publish appends a version to the history and completes the open watches.
 func (s *sim) publish(make func(name string, rev uint64) *pb.PublishedDocument, name string) uint64 {
 	p := s.platform
 	p.revision++
@@ -338,7 +340,7 @@
 	return p.revision
 }
 
-func (n *simNode) read(a Read) {
+func (n *simVM) read(a Read) {
 	p, life := n.sim.platform, n.generation
 	p.reads++
 	if p.unreachableFrom[n.dc] {
@@ -352,7 +354,7 @@
 				return
 			}
 		}
-		w := simWatch{node: n, generation: life, after: a.After, until: n.sim.now.Add(a.Wait)}
+		w := simWatch{vm: n, generation: life, after: a.After, until: n.sim.now.Add(a.Wait)}
 		if p.visible() > a.After || a.Wait == 0 {
 			n.sim.answer(w)
 			return
@@ -362,7 +364,7 @@
 	})
 }
 
-func (n *simNode) failRead(life int, reason FailureReason) {
+func (n *simVM) failRead(life int, reason FailureReason) {
 	if n.up && n.generation == life {
 		n.step(Failed{Reason: reason})
 	}
@@ -393,21 +395,21 @@
 	if drop := s.platform.drop; drop != nil {
 		kept := page.Documents[:0]
 		for _, d := range page.Documents {
-			if !drop(w.node, d) {
+			if !drop(w.vm, d) {
 				kept = append(kept, d)
 			}
 		}
 		page.Documents = kept
 	}
 	s.after(simPlatformDelay, func() {
-		if w.node.up && w.node.generation == w.generation {
-			w.node.step(Answered{Page: page})
+		if w.vm.up && w.vm.generation == w.generation {
+			w.vm.step(Answered{Page: page})
 		}
 	})
 }
 
-// untilInForce lets time pass until a document is in force at a revision on
-// every live VM, and returns how long that took; false after the limit.
+// untilInForce advances time until a document is in force at a revision on every
+// live VM. It returns the elapsed time, and false if the limit is reached.
 func (s *sim) untilInForce(name string, rev uint64, limit time.Duration) (time.Duration, bool) {
 	const grain = 5 * time.Millisecond
 	start := s.now
@@ -421,7 +423,7 @@
 }
 
 func (s *sim) allInForce(name string, rev uint64) bool {
-	for _, n := range s.nodes {
+	for _, n := range s.vms {
 		if n.up && n.syncer.State().InForce(name) < rev {
 			return false
 		}
@@ -429,10 +431,10 @@
 	return true
 }
 
-// count sums a counted event, or a failure, over the fleet.
-func (s *sim) count(e Counted) int {
+// count returns the number of occurrences of a pull event over the fleet.
+func (s *sim) count(e PullEvent) int {
 	sum := 0
-	for _, n := range s.nodes {
+	for _, n := range s.vms {
 		sum += n.counted[e]
 	}
 	return sum
@@ -440,7 +442,7 @@
 
 func (s *sim) failures(r FailureReason) int {
 	sum := 0
-	for _, n := range s.nodes {
+	for _, n := range s.vms {
 		sum += n.failed[r]
 	}
 	return sum
--- a/internal/config/start.go
+++ b/internal/config/start.go
@@ -22,7 +22,7 @@
 	// so that the list comes from it.
 	peersKnown bool
 	tried      map[string]bool
-	answers    int
+	responses  int
 	retryAt    time.Time
 }
 
@@ -32,10 +32,10 @@
 	if st.done || s.now.Before(st.retryAt) || s.hasOpenPull(purposeStart) {
 		return
 	}
-	if st.answers == 0 && s.askStartPeers() {
+	if st.responses == 0 && s.pullStartBatch() {
 		return
 	}
-	if !s.platform.tried {
+	if !s.platform.attempted {
 		return
 	}
 	if s.state.Revision() > 0 {
@@ -46,9 +46,9 @@
 	st.retryAt = s.now.Add(s.jitter(startRetryInterval))
 }
 
-// askStartPeers starts a full pull from peers that have not been tried in this
+// pullStartBatch starts a full pull from peers that have not been tried in this
 // round. It returns false if there are none left.
-func (s *Syncer) askStartPeers() bool {
+func (s *Syncer) pullStartBatch() bool {
 	tried := s.start.tried
 	asked := 0
 	for _, address := range s.startAddresses() {
--- a/internal/config/state_test.go
+++ b/internal/config/state_test.go
@@ -9,12 +9,12 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// history is what operators published: version i has revision i+1 unless it
-// shares the one before it.
+// history is the sequence of versions that operators published. Each has the
+// revision of its predecessor or the next one; the first has revision 1.
 type history []*pb.PublishedDocument
 
-// serve is what a platform that has reached a revision answers: the newest
-// version of each document.
+// serve returns the response of a platform at the given revision: the newest
+// version of each document that changed above after.
 func (h history) serve(after, revision uint64) Page {
 	newest := map[string]*pb.PublishedDocument{}
 	for _, d := range h {
@@ -31,7 +31,7 @@
 	return page
 }
 
-// last is the newest version of a document up to a revision.
+// last returns the newest version of a document up to a revision, or nil.
 func (h history) last(name string, revision uint64) *pb.PublishedDocument {
 	var last *pb.PublishedDocument
 	for _, d := range h {
@@ -42,7 +42,7 @@
 	return last
 }
 
-// goodBody passes the check, badBody does not.
+// goodBody returns a valid document body, badBody an invalid one.
 func goodBody(rev uint64) []byte {
 	return []byte(fmt.Sprintf("[[vms]]\nid = \"vm-%d\"\nregion = \"r\"\ndata_centre = \"d\"\ncaller_address = \"127.0.0.1:1\"\npeer_address = \"127.0.0.1:2\"\nstate = \"live\"\n", rev))
 }
@@ -78,33 +78,34 @@
 	return h
 }
 
-// fleetModel is several daemons over one history.
+// fleetModel is a set of daemons that share one history.
 type fleetModel struct {
 	history history
 	states  []*State
-	// inForce is the highest revision seen in force by each daemon, per name.
+	// inForce is the last revision in force per daemon and document name.
 	inForce []map[string]uint64
 }
 
 func (m *fleetModel) add() {
 	s := New()
-	// A page holds one or two documents, so that boundaries fall everywhere.
+	// A page holds one or two documents, which covers all page boundaries.
 	s.pageBytes = 200
 	m.states = append(m.states, s)
 	m.inForce = append(m.inForce, map[string]uint64{})
 }
 
-// check asserts that nothing went back and that no watermark hides a change.
+// check asserts that no document reverts to a lower revision and that no watermark
+// passes a change that the daemon lacks.
 func (m *fleetModel) check(t *rapid.T) {
 	for i, s := range m.states {
 		for _, name := range []string{"a", "b", "c"} {
 			got := s.InForce(name)
 			if got < m.inForce[i][name] {
-				t.Fatalf("daemon %d: %s went back from %d to %d", i, name, m.inForce[i][name], got)
+				t.Fatalf("daemon %d: %s reverted from %d to %d", i, name, m.inForce[i][name], got)
 			}
 			m.inForce[i][name] = got
-			// A version that a later one replaced need not be held: the later
-			// one is still to come.
+			// Only the newest version is required: a daemon may lack a version
+			// that a later one above its watermark has replaced.
 			last := m.history.last(name, m.top())
 			if last != nil && last.Revision <= s.Revision() && s.newest(name) < last.Revision {
 				t.Fatalf("daemon %d at %d lacks %s at %d", i, s.Revision(), name, last.Revision)
@@ -127,7 +128,7 @@
 	return newest
 }
 
-// pullAll takes every page above a revision from a peer.
+// pullAll merges every page above a revision from a peer.
 func pullAll(to, from *State, after uint64) {
 	name := ""
 	for {
@@ -140,13 +141,13 @@
 	}
 }
 
-// Symptom: a contract that operators changed stays at its former revision on
-// some VMs for ever, or falls back to an older one.
-// Sequence: pages from the platform, from a stale server of it and from peers
-// come in any order, repeated, cut anywhere; VMs are replaced.
-// Cause: a watermark that passes a document which was not in the page, so that
-// it is never asked for; or a page taken over as a whole.
-func TestStateIsMonotoneAndMissesNothing(t *testing.T) {
+// Guards against a changed contract that stays at its former revision on some VMs
+// for ever, or reverts to an older one. Pages from the platform, from a stale
+// platform server and from peers arrive in any order, repeated and truncated
+// anywhere, while VMs are replaced. The fault arises if the watermark passes a
+// document that was not in the page, so that it is never requested, or if a page
+// replaces the state as a whole.
+func TestStateIsMonotonicAndComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &fleetModel{history: drawHistory(t)}
 		for range 3 {
@@ -180,8 +181,8 @@
 	})
 }
 
-// converge lets everyone read and repair, and asserts that all agree on the
-// highest version that passes the check, among those still held.
+// converge lets every daemon read and pull from its peers. It asserts that all
+// agree on the highest valid version among those that any daemon still holds.
 func (m *fleetModel) converge(t *rapid.T, top uint64) {
 	for _, s := range m.states {
 		s.Merge(m.history.serve(s.Revision(), top))
@@ -225,12 +226,12 @@
 		{"first page", []Page{page(0, 3, good("a", 3))}, 3, 3, false},
 		{"a page that leaves a gap is used, but its revision is not", []Page{page(0, 2), page(5, 7, good("a", 7))}, 2, 7, false},
 		{"a lower revision is ignored", []Page{page(0, 5, good("a", 5)), page(0, 3, good("a", 3))}, 5, 5, false},
-		{"a rejected revision leaves the former", []Page{page(0, 3, good("a", 3)), page(3, 4, bad("a", 4))}, 4, 3, true},
-		{"the former comes after the rejected one", []Page{page(0, 4, bad("a", 4)), page(0, 4, good("a", 3))}, 4, 3, true},
+		{"a rejected revision keeps its predecessor in force", []Page{page(0, 3, good("a", 3)), page(3, 4, bad("a", 4))}, 4, 3, true},
+		{"the predecessor arrives after the rejected revision", []Page{page(0, 4, bad("a", 4)), page(0, 4, good("a", 3))}, 4, 3, true},
 		{"a later revision clears the rejected one", []Page{page(0, 4, bad("a", 4)), page(4, 5, good("a", 5))}, 5, 5, false},
-		{"a rejected revision below the one in force is nothing", []Page{page(0, 5, good("a", 5)), page(0, 4, bad("a", 4))}, 5, 5, false},
-		{"a deleted document does not come back", []Page{page(0, 5, deleted("a", 5)), page(0, 4, good("a", 4))}, 5, 5, false},
-		{"a document without a name or revision is nothing", []Page{page(0, 1, good("", 1), good("a", 0))}, 1, 0, false},
+		{"a rejected revision below the one in force is ignored", []Page{page(0, 5, good("a", 5)), page(0, 4, bad("a", 4))}, 5, 5, false},
+		{"a deleted document is not restored by an older version", []Page{page(0, 5, deleted("a", 5)), page(0, 4, good("a", 4))}, 5, 5, false},
+		{"a document without a name or revision is ignored", []Page{page(0, 1, good("", 1), good("a", 0))}, 1, 0, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -245,16 +246,16 @@
 	}
 }
 
-// Symptom: two VMs serve different contracts under one revision, for ever.
-// Sequence: the platform is restored from a backup and gives a revision out a
-// second time, with other bytes; each VM has seen one of both.
-// Cause: comparing revisions alone, by which neither version replaces the other.
-func TestOneRevisionWithTwoBodiesSettles(t *testing.T) {
+// Guards against two VMs that serve different contracts under one revision for
+// ever. A platform restored from a backup issues a revision a second time with
+// another body, and the VMs receive the two bodies in different order. Comparing
+// revisions alone lets neither body replace the other.
+func TestOneRevisionWithTwoBodiesConverges(t *testing.T) {
 	first, second := good("a", 4), &pb.PublishedDocument{Name: "a", Revision: 4, Body: goodBody(9)}
 	x, y := New(), New()
 	x.Merge(Page{Revision: 4, Documents: []*pb.PublishedDocument{first, second}})
 	y.Merge(Page{Revision: 4, Documents: []*pb.PublishedDocument{second, first}})
 	if x.Digest() != y.Digest() || x.Snapshot().VMs()[0].Id != y.Snapshot().VMs()[0].Id {
-		t.Errorf("the order of arrival decided: %s and %s", x.Snapshot().VMs()[0].Id, y.Snapshot().VMs()[0].Id)
+		t.Errorf("the order of arrival decides: %s and %s", x.Snapshot().VMs()[0].Id, y.Snapshot().VMs()[0].Id)
 	}
 }
--- a/internal/config/syncer.go
+++ b/internal/config/syncer.go
@@ -76,7 +76,7 @@
 	fullRead          bool
 	fullAfter         uint64
 	fullStartRevision uint64
-	tried             bool
+	attempted         bool
 	failures          int
 	reason            FailureReason
 	// confirmed is the time of the platform's last response to this daemon or, as
@@ -227,7 +227,7 @@
 	switch {
 	case p.fullRead:
 		read.After = p.fullAfter
-	case s.reader && p.tried && p.failures == 0:
+	case s.reader && p.attempted && p.failures == 0:
 		read.Wait = s.jitter(watchTimeout)
 	}
 	p.openRead, p.openedAt = read, s.now
@@ -239,7 +239,7 @@
 // read only if the configuration is unconfirmed for unconfirmedTimeout.
 func (s *Syncer) shouldRead() bool {
 	switch {
-	case s.reader || !s.platform.tried:
+	case s.reader || !s.platform.attempted:
 		return true
 	case s.state.Revision() == 0:
 		return true
@@ -260,7 +260,7 @@
 		s.mergePage(page)
 		return
 	}
-	p.openRead, p.tried, p.failures = nil, true, 0
+	p.openRead, p.attempted, p.failures = nil, true, 0
 	p.confirmed = s.now
 	s.scheduleRead(page.More)
 	if p.fullRead {
@@ -311,7 +311,7 @@
 	if p.openRead == nil {
 		return
 	}
-	p.openRead, p.tried, p.reason = nil, true, reason
+	p.openRead, p.attempted, p.reason = nil, true, reason
 	p.failures++
 	s.emit(CountFailure{reason})
 	most := maxBackoff
--- a/internal/config/syncer_test.go
+++ b/internal/config/syncer_test.go
@@ -8,19 +8,19 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// changeDeadline is the time within which a change must be in force everywhere.
+// changeDeadline is the time within which a change must be in force on every VM.
 const changeDeadline = 11 * time.Second
 
-// newStartedSim is a fleet that holds document a at revision 1 and has settled.
-func newStartedSim(t testing.TB, nodes, dataCentres int) *sim {
+// newStartedSim returns a converged fleet with document a in force at revision 1.
+func newStartedSim(t testing.TB, vms, dataCentres int) *sim {
 	t.Helper()
-	s := newSim(nodes, dataCentres, 7)
+	s := newSim(vms, dataCentres, 7)
 	s.publish(good, "a")
 	s.startAll()
 	s.run(5 * time.Second)
 	s.updatePeers()
 	s.run(5 * time.Second)
-	for _, n := range s.nodes {
+	for _, n := range s.vms {
 		if !n.syncer.Started() || n.syncer.State().InForce("a") != 1 {
 			t.Fatalf("%s has not started: revision %d", n.peer().VM, n.syncer.State().Revision())
 		}
@@ -45,9 +45,9 @@
 }
 
 func TestChangeIsInForceEverywhereAndReadsDoNotGrow(t *testing.T) {
-	for _, nodes := range []int{10, 50, 150, 550} {
-		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
-			s := newStartedSim(t, nodes, 5)
+	for _, vms := range []int{10, 50, 150, 550} {
+		t.Run(fmt.Sprint(vms), func(t *testing.T) {
+			s := newStartedSim(t, vms, 5)
 			reads := s.platform.reads
 			const changes = 3
 			for range changes {
@@ -65,9 +65,8 @@
 	}
 }
 
-// Symptom: a change takes as long as an operator's patience.
-// Sequence: every message that tells of a change unasked is lost.
-// Cause: nothing asks by itself.
+// Guards against unbounded propagation of a change when every push is lost, which
+// happens if the VMs do not poll.
 func TestEveryPushIsLost(t *testing.T) {
 	s := newStartedSim(t, 150, 5)
 	s.losePushes = true
@@ -81,7 +80,7 @@
 func TestReaders(t *testing.T) {
 	s := newStartedSim(t, 50, 5)
 	readers := map[string]int{}
-	for _, n := range s.nodes {
+	for _, n := range s.vms {
 		if n.syncer.Reader() {
 			readers[n.dc]++
 		}
@@ -93,13 +92,12 @@
 	}
 }
 
-// Symptom: a change takes minutes to reach a data centre.
-// Sequence: both of its readers fail at once; a change follows before anyone
-// has noticed.
-// Cause: the others wait for their readers alone.
+// Guards against a change that takes minutes to reach a data centre. Both of its
+// readers fail at once, and a change follows before the failure is detected. The
+// fault arises if the other VMs depend on their readers alone.
 func TestBothReadersOfADataCentreAreLost(t *testing.T) {
 	s := newStartedSim(t, 50, 5)
-	for _, n := range s.nodes {
+	for _, n := range s.vms {
 		if n.dc == "dc-0" && n.syncer.Reader() {
 			n.stop()
 		}
@@ -108,10 +106,9 @@
 	s.requireNoViolations(t)
 }
 
-// Symptom: a new contract is missing on the VMs of one data centre for as long
-// as its way to the platform is broken.
-// Sequence: the data centre loses the platform, not its peers; a change follows.
-// Cause: taking configuration from the platform alone.
+// Guards against a data centre that misses new contracts while it cannot reach the
+// platform, although it reaches its peers. The fault arises if configuration comes
+// from the platform alone.
 func TestPlatformIsLostForOneDataCentre(t *testing.T) {
 	s := newStartedSim(t, 50, 5)
 	s.platform.unreachableFrom["dc-1"] = true
@@ -123,9 +120,9 @@
 	s.requireNoViolations(t)
 }
 
-// Symptom: VMs stop serving, or the platform is overrun when it comes back.
-// Sequence: the platform is down for five minutes and comes back with a change.
-// Cause: retrying in step, or at a rate that grows with the fleet.
+// Guards against VMs that stop serving, or overload the platform when it recovers.
+// The platform is down for five minutes and recovers with a change. The fault
+// arises if VMs retry in lockstep or at a rate that grows with the fleet.
 func TestPlatformIsDown(t *testing.T) {
 	s := newStartedSim(t, 150, 5)
 	s.platform.fails = func() FailureReason { return Refused }
@@ -143,22 +140,22 @@
 	s.requireNoViolations(t)
 }
 
-// Symptom: VMs fall back to a contract that operators had replaced.
-// Sequence: the platform restarts from an older copy and serves it for a while;
-// meanwhile VMs are replaced, and a reader restarts; then it catches up.
-// Cause: taking the platform's word for the newest revision.
+// Guards against VMs that revert to a contract that operators have replaced. The
+// platform restarts from an older copy and serves it for a while, during which VMs
+// are replaced and a reader restarts; then it catches up. The fault arises if the
+// platform's revision is trusted as the newest.
 func TestPlatformIsStale(t *testing.T) {
 	s := newStartedSim(t, 30, 3)
 	s.requireInForce(t, "a", s.publish(good, "a"), changeDeadline)
 	newest := s.publishEverywhere(t)
 	s.platform.served = func() uint64 { return 1 }
-	for _, n := range s.nodes[:4] {
+	for _, n := range s.vms[:4] {
 		n.stop()
 		s.run(time.Second)
 		n.start()
 	}
 	s.run(time.Minute)
-	for i, n := range s.nodes {
+	for i, n := range s.vms {
 		if got := n.syncer.State().InForce("a"); got != newest {
 			t.Errorf("%s: a at %d, want %d", n.peer().VM, got, newest)
 		}
@@ -180,9 +177,10 @@
 	return rev
 }
 
-// Symptom: revisions in force jump, or the platform is read in a busy loop.
-// Sequence: every answer is drawn: an error, an older revision, a good one.
-// Cause: trusting an answer because the last one was good.
+// Guards against revisions in force that go back and forth, and against reading
+// the platform in a busy loop. Every response is at random an error, an older
+// revision or a valid one. The fault arises if a response is trusted because the
+// previous one was valid.
 func TestPlatformFlaps(t *testing.T) {
 	s := newStartedSim(t, 30, 3)
 	s.platform.fails = func() FailureReason {
@@ -202,14 +200,14 @@
 	s.requireNoViolations(t)
 }
 
-// Symptom: one VM never gets a changed document, though all report one revision.
-// Sequence: one data centre's answers leave the document out, with the revision
-// of a whole answer.
-// Cause: the watermark has passed the document, so it is never asked for again.
+// Guards against a VM that never receives a changed document although all VMs
+// report the same revision. Responses to one data centre omit the document but
+// carry the revision of a complete response, so that the watermark passes the
+// document and it is never requested again.
 func TestPartialAnswerIsRepaired(t *testing.T) {
 	s := newStartedSim(t, 30, 3)
 	dropped := 0
-	s.platform.drop = func(n *simNode, d *pb.PublishedDocument) bool {
+	s.platform.drop = func(n *simVM, d *pb.PublishedDocument) bool {
 		if n.dc == "dc-0" && d.Name == "b" {
 			dropped++
 			return true
@@ -224,23 +222,21 @@
 	s.requireNoViolations(t)
 }
 
-// Symptom: a replaced VM has no contract for a customer, and its status shows
-// nothing.
-// Sequence: a revision is rejected; the platform gives that one only; a VM is
-// replaced and starts.
-// Cause: taking the document from the platform alone, which no longer has the
-// version in force.
+// Guards against a replaced VM that has no contract for a customer and does not
+// show it in its status. A revision is rejected, and the platform serves only that
+// one to a replaced VM. The fault arises if the document comes from the platform
+// alone, which no longer has the version in force.
 func TestRejectedRevisionOnAReplacedVM(t *testing.T) {
 	s := newStartedSim(t, 12, 3)
 	s.publish(bad, "a")
 	s.run(changeDeadline)
-	for _, n := range s.nodes[1:5] {
+	for _, n := range s.vms[1:5] {
 		n.stop()
 		s.run(time.Second)
 		n.start()
 	}
 	s.run(changeDeadline)
-	for _, n := range s.nodes {
+	for _, n := range s.vms {
 		st := n.syncer.State()
 		rejected := st.Rejected()
 		if !n.syncer.Started() || st.InForce("a") != 1 || len(rejected) != 1 || len(rejected[0].Findings) == 0 {
@@ -250,10 +246,10 @@
 	s.requireNoViolations(t)
 }
 
-// Symptom: after a partition one side keeps its configuration.
-// Sequence: a data centre loses its peers and the platform; changes follow, one
-// of them rejected; the network heals.
-// Cause: pulling only what is heard once.
+// Guards against a data centre that keeps its old configuration after a partition.
+// It loses its peers and the platform, changes follow, one of them rejected, and
+// the network heals. The fault arises if a VM pulls only a revision that is
+// announced once.
 func TestPartitionHeals(t *testing.T) {
 	s := newStartedSim(t, 30, 3)
 	s.cut = func(from, to string) bool { return (from == "dc-2") != (to == "dc-2") }
@@ -273,10 +269,10 @@
 	s.requireNoViolations(t)
 }
 
-// Symptom: the earlier of two edits stays in force on some VMs.
-// Sequence: two operators publish one document within a millisecond; VMs learn
-// of both through different ways, the later one first.
-// Cause: the order of arrival decides.
+// Guards against the earlier of two edits staying in force on some VMs. Two
+// operators publish one document within a millisecond, and the versions reach VMs
+// by different paths, the later one first. The fault arises if the order of arrival
+// decides.
 func TestTwoEditsInQuickSuccession(t *testing.T) {
 	s := newStartedSim(t, 50, 5)
 	for range 10 {
@@ -288,15 +284,14 @@
 	s.requireNoViolations(t)
 }
 
-// Symptom: daemons of two releases send each other the whole configuration with
-// each change.
-// Sequence: a fleet half of which does not know a new setting: it rejects what
-// the other half accepts, so their digests differ for good.
-// Cause: repairing a difference that no pull can settle.
-func TestDifferingVerdictsDoNotCauseAStorm(t *testing.T) {
+// Guards against daemons of two releases that send each other the whole
+// configuration on each change. Half of the fleet does not know a new setting and
+// rejects what the other half accepts, so their digests differ permanently. The
+// fault arises if a VM keeps repairing a difference that no pull can resolve.
+func TestDifferentValidationDoesNotCauseRepairStorm(t *testing.T) {
 	s := newStartedSim(t, 20, 2)
 	odd := good("b", 9)
-	for i, n := range s.nodes {
+	for i, n := range s.vms {
 		if i%4 < 2 {
 			n.syncer.state.digest += odd.Revision
 		}
@@ -307,21 +302,21 @@
 		t.Fatal("the test did not provoke a difference")
 	}
 	s.run(10 * time.Minute)
-	perNode := float64(s.count(PullDiffers)-before) / float64(len(s.nodes))
-	t.Logf("%.1f full pulls in ten minutes and VM", perNode)
-	if perNode > 2 {
-		t.Errorf("%.1f full pulls in ten minutes and VM", perNode)
+	perVM := float64(s.count(PullDiffers)-before) / float64(len(s.vms))
+	t.Logf("%.1f full pulls per VM in ten minutes", perVM)
+	if perVM > 2 {
+		t.Errorf("%.1f full pulls per VM in ten minutes", perVM)
 	}
 }
 
-// Symptom: a VM is asked again and again for a revision it does not have.
-// Sequence: a peer's heartbeat claims a revision far above all others.
-// Cause: a claim is pursued until it is met.
-func TestClaimThatFallsShort(t *testing.T) {
+// Guards against endless pulls from a VM for a revision that it does not have. A
+// peer's heartbeat claims a revision far above all others. The fault arises if a
+// claim is retried until it is fulfilled.
+func TestUnfulfilledClaimIsDropped(t *testing.T) {
 	s := newStartedSim(t, 10, 1)
-	n := s.nodes[3]
+	n := s.vms[3]
 	messages := s.messages
-	n.step(Heard{Address: s.nodes[4].peer().Address, Revision: 1 << 60})
+	n.step(Heard{Address: s.vms[4].peer().Address, Revision: 1 << 60})
 	s.run(time.Second)
 	if n.counted[PullFellShort] != 1 || s.messages-messages > 20 {
 		t.Errorf("counted %v, %d messages", n.counted, s.messages-messages)
@@ -333,7 +328,7 @@
 	tests := []struct {
 		name     string
 		platform func(*simPlatformService)
-		// peers is whether others have started before.
+		// peers reports whether other VMs have already started.
 		peers   bool
 		started bool
 		inForce uint64
@@ -352,11 +347,11 @@
 			if tt.peers {
 				s.startAll()
 				s.run(5 * time.Second)
-				s.nodes[5].stop()
+				s.vms[5].stop()
 				s.run(time.Second)
 			}
 			tt.platform(s.platform)
-			n := s.nodes[5]
+			n := s.vms[5]
 			n.start()
 			s.run(10 * time.Second)
 			if n.syncer.Started() != tt.started || n.startedWith != tt.inForce {
@@ -368,13 +363,14 @@
 }
 
 // BenchmarkSpread runs a fleet in simulated time with 1,400 changes a day, one
-// each 61.7 s, and reports what one change and one second cost.
+// every 61.7 s. It reports the propagation delay of a change and the load per
+// second.
 func BenchmarkSpread(b *testing.B) {
 	const between = 24 * time.Hour / 1400
 	for _, lost := range []bool{false, true} {
-		for _, nodes := range []int{10, 50, 150, 550} {
-			b.Run(fmt.Sprintf("members=%d/pushes-lost=%v", nodes, lost), func(b *testing.B) {
-				s := newStartedSim(b, nodes, 5)
+		for _, vms := range []int{10, 50, 150, 550} {
+			b.Run(fmt.Sprintf("members=%d/pushes-lost=%v", vms, lost), func(b *testing.B) {
+				s := newStartedSim(b, vms, 5)
 				s.losePushes = lost
 				s.bytes, s.messages, s.platform.reads = 0, 0, 0
 				var worst, sum time.Duration
@@ -387,9 +383,9 @@
 				b.ReportMetric(worst.Seconds(), "max-s-to-force")
 				b.ReportMetric(sum.Seconds()/float64(b.N), "mean-s-to-force")
 				b.ReportMetric(float64(s.platform.reads)/seconds, "reads/s")
-				b.ReportMetric(float64(s.messages)/seconds/float64(nodes), "messages/s/node")
-				b.ReportMetric(float64(s.bytes)/seconds/float64(nodes), "B/s/node")
-				b.ReportMetric(float64(b.Elapsed().Nanoseconds())/seconds/float64(nodes), "ns/s/node")
+				b.ReportMetric(float64(s.messages)/seconds/float64(vms), "messages/s/node")
+				b.ReportMetric(float64(s.bytes)/seconds/float64(vms), "B/s/node")
+				b.ReportMetric(float64(b.Elapsed().Nanoseconds())/seconds/float64(vms), "ns/s/node")
 			})
 		}
 	}
