--- a/internal/config/start.go
+++ b/internal/config/start.go
@@ -18,8 +18,8 @@
 // alone would put a lower revision in force than the replaced VM had.
 type startState struct {
 	done bool
-	// peersKnown reports whether a configuration was held when Peers last arrived,
-	// so that the list comes from it.
+	// peersKnown is set if a configuration was held at the last Peers event, so
+	// that the peers are those of the configuration and not only the seeds.
 	peersKnown bool
 	tried      map[string]bool
 	responses  int
