--- a/internal/standalone/adapter.go
+++ b/internal/standalone/adapter.go
@@ -12,13 +12,14 @@
 	"sycamorekeel.example/sycamorekeel/internal/wire"
 )
 
-// Paths of the calls beside callers' own requests.
+// HTTP paths of the readiness probe and of the VM directory.
 const (
 	pathReady     = "/readyz"
 	pathDirectory = "/v1/vms"
 )
 
-// Adapter lets a node speak the project's own interface.
+// Adapter returns the adapter that connects a node to the project's own store,
+// wire format and HTTP endpoints.
 func Adapter(set *node.Settings) node.Adapter {
 	return node.Adapter{
 		Store:     NewFile(set.Store),
@@ -27,20 +28,22 @@
 		Callers: func(e *edge.Engine, leaving func() bool) node.CallerHandler {
 			return wire.NewIngress(e, wire.Own(), leaving)
 		},
-		Directory: directory,
+		Directory: directoryHandler,
 		Ready: func(ready func() bool) fasthttp.RequestHandler {
 			return wire.ReadyHandler(pathReady, ready)
 		},
 	}
 }
 
-// directoryAnswer is the body of an answer of the directory.
-type directoryAnswer struct {
+// directoryResponse is the JSON body of a directory response.
+type directoryResponse struct {
 	Addresses []string `json:"addresses"`
 	TTLMS     int64    `json:"ttl_ms"`
 }
 
-func directory(choose func(placement.Caller) []string, ttl time.Duration) fasthttp.RequestHandler {
+// directoryHandler lists the addresses of the VMs that choose selects for the caller.
+// It responds with 503 when there are none.
+func directoryHandler(choose func(placement.Caller) []string, ttl time.Duration) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		if string(ctx.Path()) != pathDirectory {
 			ctx.SetStatusCode(fasthttp.StatusNotFound)
@@ -48,7 +51,7 @@
 		}
 		args := ctx.QueryArgs()
 		addresses := choose(placement.Caller{Region: string(args.Peek("region")), DataCentre: string(args.Peek("data_centre"))})
-		body, err := json.Marshal(directoryAnswer{Addresses: addresses, TTLMS: ttl.Milliseconds()})
+		body, err := json.Marshal(directoryResponse{Addresses: addresses, TTLMS: ttl.Milliseconds()})
 		if err != nil || len(addresses) == 0 {
 			ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 			return
--- a/internal/standalone/deployment.go
+++ b/internal/standalone/deployment.go
@@ -17,16 +17,17 @@
 	"sycamorekeel.example/sycamorekeel/internal/tomlpb"
 )
 
-// Keys of the items that a deployment is split into.
+// Keys of the catalog items made from a deployment.
 const (
 	keyConfig      = "config"
 	prefixUpstream = "upstream/"
 )
 
-// filePoll is how often the deployment file is looked at.
-const filePoll = 200 * time.Millisecond
+// filePollInterval is the interval at which Watch reads the deployment file.
+const filePollInterval = 200 * time.Millisecond
 
-// ParseDeployment decodes and checks a deployment; every fault is reported.
+// ParseDeployment decodes and validates a deployment. It returns all findings, not
+// just the first one.
 func ParseDeployment(name string, data []byte) (*pb.EdgeDeployment, finding.List) {
 	d := &pb.EdgeDeployment{}
 	src := tomlpb.Decode(name, data, d)
@@ -78,11 +79,11 @@
 	}
 }
 
-// File reads a deployment file; it implements node.Store. The file's version is
-// the revision, so that VMs with the same file agree.
+// File is a node.Store backed by a deployment file. The version in the file is the
+// store's revision, so VMs with the same file agree on it.
 type File struct{ path string }
 
-// NewFile reads the file at a path, at each call anew.
+// NewFile returns a store that reads the file at path on every call.
 func NewFile(path string) *File { return &File{path: path} }
 
 // List implements node.Store.
@@ -91,14 +92,14 @@
 	if err != nil {
 		return catalog.Position{}, nil, err
 	}
-	items, err := split(d)
+	items, err := deploymentItems(d)
 	return catalog.Position{Revision: d.Version}, items, trace.Wrap(err)
 }
 
-// Watch implements node.Store: a file has no history, so a later version is to be
-// listed.
+// Watch implements node.Store. A file keeps no history, so Watch reports a newer
+// version as node.ErrCompacted and the caller has to list again.
 func (f *File) Watch(after uint64, wait time.Duration) (catalog.Position, []catalog.Item, error) {
-	for end := time.Now().Add(wait); ; time.Sleep(filePoll) {
+	for end := time.Now().Add(wait); ; time.Sleep(filePollInterval) {
 		d, err := f.read()
 		if err != nil {
 			return catalog.Position{}, nil, err
@@ -121,8 +122,9 @@
 	return d, trace.Wrap(findings.Err())
 }
 
-// split makes one item of the routes and services and one of each upstream.
-func split(d *pb.EdgeDeployment) ([]catalog.Item, error) {
+// deploymentItems converts a deployment to catalog items: one for the routes and services
+// together and one per upstream.
+func deploymentItems(d *pb.EdgeDeployment) ([]catalog.Item, error) {
 	config, err := proto.Marshal(&pb.EdgeDeployment{Version: d.Version, Routes: d.Routes, Services: d.Services})
 	if err != nil {
 		return nil, err
@@ -138,7 +140,7 @@
 	return items, nil
 }
 
-// Documents decodes the items; it implements catalog.Decoder.
+// Documents is the catalog.Decoder for the items of a deployment file.
 type Documents struct{}
 
 // Kind implements catalog.Decoder.
@@ -153,7 +155,8 @@
 	}
 }
 
-// Evacuated implements catalog.Decoder: a deployment file evacuates nothing.
+// Evacuated implements catalog.Decoder. A deployment file cannot request an
+// evacuation, so the result is always empty.
 func (Documents) Evacuated(string) string { return "" }
 
 // Config implements catalog.Decoder.
--- a/internal/standalone/settings.go
+++ b/internal/standalone/settings.go
@@ -1,5 +1,5 @@
-// Package standalone runs a node over the project's own interface: settings and a
-// deployment file in TOML, the project's own headers and calls.
+// Package standalone connects a node to the project's own interface: settings and
+// a deployment file in TOML, and the project's own HTTP headers and endpoints.
 package standalone
 
 import (
@@ -15,7 +15,8 @@
 	"sycamorekeel.example/sycamorekeel/internal/tomlpb"
 )
 
-// Defaults of the settings that may be left out.
+// Defaults of the optional settings, in the units of the settings: CPU in
+// millicores, memory in MiB, durations in milliseconds.
 const (
 	defaultMillicores  = 1000
 	defaultChangeBound = 3000
@@ -26,8 +27,8 @@
 	defaultDescriptors = 4096
 )
 
-// LoadSettings reads and checks a settings file. The node's store is the path of
-// the deployment file.
+// LoadSettings reads and validates a settings file. Store in the result is the path
+// of the deployment file.
 func LoadSettings(path string) (*node.Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -37,10 +38,11 @@
 	if err := findings.Err(); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return convert(s), nil
+	return nodeSettings(s), nil
 }
 
-// ParseSettings decodes and checks settings; every fault is reported.
+// ParseSettings decodes and validates settings. It returns all findings, not just
+// the first one.
 func ParseSettings(name string, data []byte) (*pb.EdgeSettings, finding.List) {
 	s := &pb.EdgeSettings{}
 	src := tomlpb.Decode(name, data, s)
@@ -51,7 +53,7 @@
 	return s, c.Findings
 }
 
-// checker collects what is wrong with a file.
+// checker validates a file and collects its findings.
 type checker struct{ finding.Checker }
 
 func (c *checker) settings(s *pb.EdgeSettings) {
@@ -69,7 +71,7 @@
 	}
 }
 
-func convert(s *pb.EdgeSettings) *node.Settings {
+func nodeSettings(s *pb.EdgeSettings) *node.Settings {
 	regions := map[string]string{s.DataCentre: s.Region}
 	for _, dc := range s.RegionDataCentres {
 		regions[dc] = s.Region
@@ -86,21 +88,22 @@
 		MetricsAddress:   s.MetricsAddress,
 		Seeds:            s.Seeds,
 		Store:            s.Deployment,
-		Cores:            float64(or(s.Millicores, defaultMillicores)) / 1000,
-		MemoryBytes:      int64(or(s.MemoryMb, defaultMemory)) << 20,
-		Descriptors:      int(or(s.Descriptors, defaultDescriptors)),
-		ChangeBound:      milliseconds(or(s.ChangeBoundMs, defaultChangeBound)),
-		Grace:            milliseconds(or(s.GraceMs, defaultGrace)),
-		MaxTTL:           milliseconds(or(s.MaxTtlMs, defaultMaxTTL)),
+		Cores:            float64(valueOr(s.Millicores, defaultMillicores)) / 1000,
+		MemoryBytes:      int64(valueOr(s.MemoryMb, defaultMemory)) << 20,
+		Descriptors:      int(valueOr(s.Descriptors, defaultDescriptors)),
+		ChangeBound:      milliseconds(valueOr(s.ChangeBoundMs, defaultChangeBound)),
+		Grace:            milliseconds(valueOr(s.GraceMs, defaultGrace)),
+		MaxTTL:           milliseconds(valueOr(s.MaxTtlMs, defaultMaxTTL)),
 		Budget: retrybudget.Limit{
 			Ratio:     float64(s.RetryPercent) / 100,
-			Window:    milliseconds(or(s.RetryWindowMs, defaultWindow)),
+			Window:    milliseconds(valueOr(s.RetryWindowMs, defaultWindow)),
 			Allowance: float64(s.RetryAllowance),
 		},
 	}
 }
 
-func or(v, def uint32) uint32 {
+// valueOr returns def if v is 0, which means that the setting is left out.
+func valueOr(v, def uint32) uint32 {
 	if v == 0 {
 		return def
 	}
--- a/internal/standalone/standalone_test.go
+++ b/internal/standalone/standalone_test.go
@@ -32,7 +32,7 @@
 	return string(data)
 }
 
-func TestTheExamplesAreSound(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	if _, findings := ParseSettings("edge-1.toml", []byte(read(t, example+"edge-1.toml"))); len(findings) > 0 {
 		t.Error(findings)
 	}
@@ -41,8 +41,8 @@
 	}
 }
 
-// Every fault is reported with its place.
-func TestFaults(t *testing.T) {
+// Each invalid field is reported with its path.
+func TestInvalidFieldsAreReported(t *testing.T) {
 	set, deployment := read(t, example+"edge-1.toml"), read(t, example+"deployment.toml")
 	for _, c := range []struct{ old, new, want string }{
 		{`vm = "edge-1"`, "", "vm: must be given"},
@@ -69,7 +69,8 @@
 	}
 }
 
-// upstream answers each request with a body and its proof.
+// upstream starts an upstream that responds with body and with its X-Proof header.
+// It rejects requests that are meant for another upstream or have no deadline.
 func upstream(t *testing.T, id, body string) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", standin.NewHost())
@@ -87,16 +88,16 @@
 		ctx.SetBodyString(body)
 	}}
 	go func() {
-		// It ends with its listener.
+		// Serve returns when the listener closes.
 		_ = s.Serve(ln)
 	}()
 	t.Cleanup(func() { ln.Close() })
 	return ln.Addr().String()
 }
 
-// The same engine serves the project's own interface: routes and upstreams from a
-// file, plain requests, merged queries, and a change of the file.
-func TestThePathOverTheOwnInterface(t *testing.T) {
+// Runs a node on a deployment file: plain requests, merged queries over shards, and
+// a change of the file while the node runs.
+func TestNodeServesDeploymentFile(t *testing.T) {
 	record := func(c string) string { return strings.Repeat(c, topk.RecordBytes) }
 	deployment := read(t, example+"deployment.toml")
 	for old, address := range map[string]string{
@@ -124,7 +125,7 @@
 	s.CallerAddress, s.ReadyAddress, s.DirectoryAddress = host+":1001", host+":1002", host+":1003"
 	s.PeerAddress, s.MetricsAddress, s.Seeds = host+":1004", host+":1005", nil
 	s.Deployment, s.GraceMs = path, 1500
-	set := convert(s)
+	set := nodeSettings(s)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	n := node.New(set, node.Options{
