--- a/internal/daemon/backend.go
+++ b/internal/daemon/backend.go
@@ -10,12 +10,12 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// Snapshot is the configuration in force.
+// Snapshot returns the configuration in force.
 func (d *Daemon) Snapshot() *contract.Snapshot {
 	return d.snapshot.Load()
 }
 
-// NotReady says why no request can be served, or is empty.
+// NotReady returns the reason why this VM cannot serve requests, or "" if it can.
 func (d *Daemon) NotReady() string {
 	if d.stopping.Load() {
 		return "this VM is stopping"
@@ -29,17 +29,17 @@
 	return d.shares.notReady()
 }
 
-// Stopping says that a planned stop is under way.
+// Stopping reports whether this VM refuses new requests because it is stopping.
 func (d *Daemon) Stopping() bool {
 	return d.stopping.Load()
 }
 
-// CallerAddress is where callers reach this VM.
+// CallerAddress returns the address at which callers reach this VM.
 func (d *Daemon) CallerAddress() string {
 	return d.settings.CallerAddress
 }
 
-// Status is what the operators see.
+// Status returns the state of this VM for the operator API.
 func (d *Daemon) Status() operatorapi.Status {
 	snap := d.snapshot.Load()
 	why := d.NotReady()
@@ -54,7 +54,7 @@
 		Conflicts:   snap.Conflicts,
 		Owned:       d.table.Load().Owned(d.settings.Vm),
 	}
-	d.config.describe(&st)
+	d.config.fillStatus(&st)
 	for _, m := range d.view.Load().Members {
 		st.Members = append(st.Members, operatorapi.Member{
 			VM:         m.VM,
@@ -65,7 +65,8 @@
 	return st
 }
 
-// receiver takes the replies of peers.
+// receiver handles the frames that peers send back on the streams that this VM
+// opened, and the frames that were lost with such a stream.
 type receiver Daemon
 
 func (r *receiver) Frame(_ string, f *pb.Frame) {
@@ -73,21 +74,21 @@
 	case *pb.Frame_Reply:
 		r.engine.Deliver(b.Reply)
 	case *pb.Frame_Status:
-		(*Daemon)(r).learnStatus(b.Status)
+		(*Daemon)(r).updateStatus(b.Status)
 	case *pb.Frame_ForwardReply:
-		r.forwards.replied(b.ForwardReply)
+		r.forwarder.handleReply(b.ForwardReply)
 	case *pb.Frame_ConfigDocuments:
-		r.config.answered(b.ConfigDocuments)
+		r.config.handlePullReply(b.ConfigDocuments)
 	}
 }
 
 func (r *receiver) Lost(_ string, f *pb.Frame, written bool) {
 	if b, ok := f.Body.(*pb.Frame_Forward); ok {
-		r.forwards.lost(b.Forward, written)
+		r.forwarder.handleLost(b.Forward, written)
 		return
 	}
 	if pull := f.GetConfigPull(); pull != nil {
-		r.config.lost(pull.Id)
+		r.config.handlePullLost(pull.Id)
 		return
 	}
 	req := f.GetRequest()
@@ -101,38 +102,38 @@
 	r.engine.Deliver(&pb.SubReply{Id: req.Id, Result: result})
 }
 
-// peerHandler serves the frames of dialling peers.
+// peerHandler handles the frames of peers that opened a stream to this VM.
 type peerHandler Daemon
 
 func (h *peerHandler) Frame(from *pb.Hello, f *pb.Frame, reply func(*pb.Frame)) {
 	switch b := f.Body.(type) {
 	case *pb.Frame_Request:
-		h.owner.Submit(keyOf(from, b.Request.Id), b.Request, func(r *pb.SubReply) {
+		h.owner.Submit(requestKey(from, b.Request.Id), b.Request, func(r *pb.SubReply) {
 			reply(&pb.Frame{Body: &pb.Frame_Reply{Reply: r}})
 		})
 	case *pb.Frame_Forward:
-		h.forwards.serve(b.Forward, reply)
+		h.forwarder.handleRequest(b.Forward, reply)
 	case *pb.Frame_ConfigPull:
-		h.config.serve(from, b.ConfigPull, reply)
+		h.config.handlePull(from, b.ConfigPull, reply)
 	case *pb.Frame_ConfigDocuments:
-		h.config.pushed(from, b.ConfigDocuments)
+		h.config.handlePush(from, b.ConfigDocuments)
 	case *pb.Frame_Cancel:
-		h.owner.Cancel(keyOf(from, b.Cancel.Id), b.Cancel.Upstream)
+		h.owner.Cancel(requestKey(from, b.Cancel.Id), b.Cancel.Upstream)
 	case *pb.Frame_ShareLoan:
-		h.shares.loan(from, b.ShareLoan)
+		h.shares.handleLoan(from, b.ShareLoan)
 	case *pb.Frame_ShareAck:
-		h.shares.ack(from, b.ShareAck)
+		h.shares.handleAck(from, b.ShareAck)
 	}
 }
 
 func (h *peerHandler) Opened(from *pb.Hello, reply func(*pb.Frame)) {
-	h.status.open(from, reply)
+	h.status.subscribe(from, reply)
 }
 
 func (h *peerHandler) Gone(from *pb.Hello) {
-	h.status.gone(from)
+	h.status.unsubscribe(from)
 }
 
-func keyOf(from *pb.Hello, id uint64) dispatch.Key {
+func requestKey(from *pb.Hello, id uint64) dispatch.Key {
 	return dispatch.Key{VM: from.Vm, Incarnation: from.Incarnation, ID: id}
 }
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -20,38 +20,38 @@
 )
 
 const (
-	configTick = 100 * time.Millisecond
-	// configMail bounds the events that wait. More are dropped and counted;
-	// what they told comes again with the next heartbeat or ask.
-	configMail = 256
-	// configPullIDs sets the ids of pulls apart from those of sub-requests,
-	// which share the streams: a lost or late frame must not settle another's.
-	configPullIDs = 1 << 63
+	configTickInterval = 100 * time.Millisecond
+	// configQueueSize is the size of the event queue. Events beyond it are dropped and
+	// counted; the next heartbeat or pull carries the same information.
+	configQueueSize = 256
+	// configPullIDBit is the bit that is set in the ids of pulls. Sub-requests use the
+	// same streams, and a lost or late frame of one must not end the other.
+	configPullIDBit = 1 << 63
 )
 
-// configSync drives a config.Syncer: one goroutine steps it, so that revisions
-// come into force in order, and another makes the calls to the platform.
+// configSync drives a config.Syncer. One goroutine steps it, so that revisions are
+// applied in order, and another one calls the platform.
 type configSync struct {
 	d        *Daemon
 	log      *zap.Logger
-	met      *configMetrics
+	metrics  *configMetrics
 	platform *platform.Client
 	syncer   *config.Syncer
-	mail     chan configMessage
+	queue    chan configMessage
 	reads    chan config.Read
-	// view is the one the syncer knows.
+	// view is the last one passed to the syncer.
 	view   *membership.View
 	status atomic.Pointer[configStatus]
 }
 
-// configMessage is an event, or a pull of a peer to be served.
+// configMessage is an event for the syncer, or a peer's pull request if pull is set.
 type configMessage struct {
 	event config.Event
 	pull  *pb.ConfigPull
 	reply func(*pb.Frame)
 }
 
-// configStatus is what other goroutines may read.
+// configStatus is a copy of the syncer's state for other goroutines.
 type configStatus struct {
 	started   bool
 	reader    bool
@@ -68,9 +68,9 @@
 	c := &configSync{
 		d:        d,
 		log:      d.log,
-		met:      newConfigMetrics(d.registry),
+		metrics:  newConfigMetrics(d.registry),
 		platform: platform.NewClient(d.settings.PlatformAddress),
-		mail:     make(chan configMessage, configMail),
+		queue:    make(chan configMessage, configQueueSize),
 		reads:    make(chan config.Read, 1),
 	}
 	c.syncer = config.NewSyncer(now, config.Options{
@@ -84,23 +84,26 @@
 	return c
 }
 
-// noteRevision takes in the revision that a peer's datagram claims.
+// noteRevision notifies the syncer if a peer claims a revision that is newer than the
+// one held here.
 func (d *Daemon) noteRevision(peerAddress string, revision uint64) {
 	if revision > d.config.status.Load().revision {
 		d.config.post(config.Heard{Address: peerAddress, Revision: revision})
 	}
 }
 
-// post never blocks: it is called from the goroutines that read frames.
+// post queues an event. It never blocks, because the goroutines that read frames
+// call it.
 func (c *configSync) post(e config.Event) {
 	c.send(configMessage{event: e})
 }
 
+// send queues a message, or drops and counts it if the queue is full.
 func (c *configSync) send(m configMessage) {
 	select {
-	case c.mail <- m:
+	case c.queue <- m:
 	default:
-		c.met.dropped.Inc()
+		c.metrics.dropped.Inc()
 	}
 }
 
@@ -113,7 +116,7 @@
 		defer close(done)
 		c.readPlatform(ctx)
 	}()
-	tick := time.NewTicker(configTick)
+	tick := time.NewTicker(configTickInterval)
 	defer tick.Stop()
 	c.step(config.Tick{})
 	for {
@@ -123,7 +126,7 @@
 			return nil
 		case <-tick.C:
 			c.step(config.Tick{})
-		case m := <-c.mail:
+		case m := <-c.queue:
 			c.handle(m)
 		}
 		c.updatePeers()
@@ -132,12 +135,13 @@
 
 func (c *configSync) handle(m configMessage) {
 	if m.pull != nil {
-		c.answer(m.pull, m.reply)
+		c.answerPull(m.pull, m.reply)
 		return
 	}
 	c.step(m.event)
 }
 
+// step passes an event to the syncer and executes the actions that it returns.
 func (c *configSync) step(e config.Event) {
 	inForce := false
 	for _, a := range c.syncer.Step(time.Now(), e) {
@@ -151,9 +155,9 @@
 		case config.PutInForce:
 			inForce = true
 		case config.Count:
-			c.met.pulls.WithLabelValues(string(a.Event)).Inc()
+			c.metrics.pulls.WithLabelValues(string(a.Event)).Inc()
 		case config.CountFailure:
-			c.met.failures.WithLabelValues(string(a.Reason)).Inc()
+			c.metrics.failures.WithLabelValues(string(a.Reason)).Inc()
 		}
 	}
 	if inForce {
@@ -162,13 +166,14 @@
 	c.publish(inForce)
 }
 
-// putInForce compiles what the syncer holds and routes by it.
+// putInForce compiles the syncer's documents and applies the resulting snapshot.
 func (c *configSync) putInForce() {
 	snap := c.syncer.State().Snapshot()
 	c.log.Info("config: in force", zap.Uint64("revision", snap.Revision))
 	c.d.putInForce(snap)
 }
 
+// putInForce applies a snapshot to shares, gossip and routing.
 func (d *Daemon) putInForce(snap *contract.Snapshot) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -182,6 +187,8 @@
 	d.apply(view, snap)
 }
 
+// publish updates the status and the metrics from the syncer. changed means that new
+// documents are in force.
 func (c *configSync) publish(changed bool) {
 	old := c.status.Load()
 	state := c.syncer.State()
@@ -199,9 +206,10 @@
 		c.logRejected(old.rejected, st.rejected)
 	}
 	c.status.Store(st)
-	c.met.show(st)
+	c.metrics.update(st)
 }
 
+// logRejected logs and counts the rejected documents of now that are not in old.
 func (c *configSync) logRejected(old, now []config.Rejected) {
 	known := map[string]uint64{}
 	for _, r := range old {
@@ -211,13 +219,13 @@
 		if known[r.Name] == r.Revision {
 			continue
 		}
-		c.met.rejected.Inc()
+		c.metrics.rejected.Inc()
 		c.log.Warn("config: a document was rejected, its former revision stays in force",
 			zap.String("document", r.Name), zap.Uint64("revision", r.Revision), zap.Stringer("findings", r.Findings))
 	}
 }
 
-// updatePeers tells the syncer of a new view.
+// updatePeers passes the serving peers to the syncer if the view has changed.
 func (c *configSync) updatePeers() {
 	view := c.d.view.Load()
 	if view == c.view {
@@ -233,7 +241,7 @@
 	c.step(config.Peers{List: peers})
 }
 
-// readPlatform makes one call after the other.
+// readPlatform executes the requested reads of the platform, one at a time.
 func (c *configSync) readPlatform(ctx context.Context) {
 	for {
 		var read config.Read
@@ -242,12 +250,12 @@
 			return
 		case read = <-c.reads:
 		}
-		c.met.reads.Inc()
+		c.metrics.reads.Inc()
 		event := c.read(read)
 		select {
 		case <-ctx.Done():
 			return
-		case c.mail <- configMessage{event: event}:
+		case c.queue <- configMessage{event: event}:
 		}
 	}
 }
@@ -258,13 +266,14 @@
 		return config.Answered{Page: page}
 	}
 	reason := platform.ReasonOf(err)
-	c.log.Warn("config: platform gave nothing", zap.Error(err))
+	c.log.Warn("config: read of the platform failed", zap.Error(err))
 	return config.Failed{Reason: reason}
 }
 
+// pull requests documents from a peer.
 func (c *configSync) pull(a config.Pull) {
 	frame := &pb.Frame{Body: &pb.Frame_ConfigPull{ConfigPull: &pb.ConfigPull{
-		Id:        a.ID | configPullIDs,
+		Id:        a.ID | configPullIDBit,
 		After:     a.After,
 		AfterName: a.AfterName,
 		Held:      a.Held,
@@ -274,11 +283,12 @@
 	}
 }
 
+// push sends a page to peers without a request.
 func (c *configSync) push(a config.Push) {
 	frame := &pb.Frame{Body: &pb.Frame_ConfigDocuments{ConfigDocuments: c.documents(a.Page)}}
 	for _, address := range a.Addresses {
 		if c.d.pool.Send(address, frame) {
-			c.met.pushes.Inc()
+			c.metrics.pushes.Inc()
 		}
 	}
 }
@@ -294,6 +304,7 @@
 	}
 }
 
+// milliseconds converts d to milliseconds, clamped to the range of uint32.
 func milliseconds(d time.Duration) uint32 {
 	return uint32(min(max(d.Milliseconds(), 0), math.MaxUint32))
 }
@@ -308,43 +319,46 @@
 	}
 }
 
-// answered takes the answer to a pull.
-func (c *configSync) answered(m *pb.ConfigDocuments) {
+// handlePullReply handles the answer to a pull.
+func (c *configSync) handlePullReply(m *pb.ConfigDocuments) {
 	c.post(config.Pulled{
-		ID:   m.Id &^ configPullIDs,
+		ID:   m.Id &^ configPullIDBit,
 		Page: pageOf(m),
 		Age:  time.Duration(m.PlatformAgeMs) * time.Millisecond,
 	})
 }
 
-// lost ends a pull that gets no answer.
-func (c *configSync) lost(id uint64) {
-	c.post(config.PullLost{ID: id &^ configPullIDs})
+// handlePullLost handles the loss of a pull or of its answer.
+func (c *configSync) handlePullLost(id uint64) {
+	c.post(config.PullLost{ID: id &^ configPullIDBit})
 }
 
-// pushed takes a page that a peer sent unasked.
-func (c *configSync) pushed(from *pb.Hello, m *pb.ConfigDocuments) {
+// handlePush handles a page that a peer sent without a request.
+func (c *configSync) handlePush(from *pb.Hello, m *pb.ConfigDocuments) {
 	if member, ok := c.d.view.Load().Find(from.Vm); ok {
 		c.post(config.Pushed{Address: member.PeerAddress, Page: pageOf(m)})
 	}
 }
 
-// serve answers the pull of a peer. What the peer holds is news, too.
-func (c *configSync) serve(from *pb.Hello, m *pb.ConfigPull, reply func(*pb.Frame)) {
+// handlePull queues a peer's pull. The pull also carries the revision that the peer holds,
+// which may be newer than this VM's.
+func (c *configSync) handlePull(from *pb.Hello, m *pb.ConfigPull, reply func(*pb.Frame)) {
 	if member, ok := c.d.view.Load().Find(from.Vm); ok {
 		c.d.noteRevision(member.PeerAddress, m.Held)
 	}
 	c.send(configMessage{pull: m, reply: reply})
 }
 
-func (c *configSync) answer(m *pb.ConfigPull, reply func(*pb.Frame)) {
+// answerPull replies to a peer's pull.
+func (c *configSync) answerPull(m *pb.ConfigPull, reply func(*pb.Frame)) {
 	docs := c.documents(c.syncer.State().Since(m.After, m.AfterName))
 	docs.Id = m.Id
 	reply(&pb.Frame{Body: &pb.Frame_ConfigDocuments{ConfigDocuments: docs}})
-	c.met.served.Inc()
+	c.metrics.served.Inc()
 }
 
-// notReady says why the configuration may not be served by yet, or is empty.
+// notReady returns the reason why the configuration may not be used yet, or "" if it
+// may.
 func (c *configSync) notReady() string {
 	st := c.status.Load()
 	switch {
@@ -359,8 +373,8 @@
 	}
 }
 
-// describe fills in the operators' view.
-func (c *configSync) describe(out *operatorapi.Status) {
+// fillStatus sets the configuration fields of the operator API's status.
+func (c *configSync) fillStatus(out *operatorapi.Status) {
 	st := c.status.Load()
 	out.Rejected = st.rejected
 	out.Platform = operatorapi.Platform{
@@ -374,7 +388,7 @@
 	}
 }
 
-// configMetrics counts the traffic about the configuration.
+// configMetrics holds the metrics of configuration reads, pulls and pushes.
 type configMetrics struct {
 	reads    prometheus.Counter
 	failures *prometheus.CounterVec
@@ -417,7 +431,7 @@
 	return m
 }
 
-func (m *configMetrics) show(st *configStatus) {
+func (m *configMetrics) update(st *configStatus) {
 	m.revision.Set(float64(st.revision))
 	m.age.Set(time.Since(st.confirmed).Seconds())
 	m.reader.Set(0)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon wires the parts of one VM's process together and runs them
-// until a planned stop. It holds no policy.
+// Package daemon connects the components of one VM's process and runs them until a
+// planned stop. It contains no policy of its own.
 //
 // Lock order: Daemon.mu before owner.Owner.mu; Daemon.mu is not held across I/O.
 package daemon
@@ -41,11 +41,11 @@
 )
 
 const (
-	explainRequests = 256
+	explainRingSize = 256
 )
 
-// Options is what a daemon needs besides its settings. A nil listener is opened
-// at the address in the settings.
+// Options configures a daemon beyond its settings. If a listener is nil, Run opens
+// one at the address in the settings.
 type Options struct {
 	Log      *zap.Logger
 	Caller   net.Listener
@@ -53,16 +53,16 @@
 	Peer     net.Listener
 	// Gossip is the UDP socket at the peer address.
 	Gossip net.PacketConn
-	// DialPeer and DialUpstream open TCP connections; nil dials plainly. Tests
-	// of failures hand in dialers whose connections they can cut.
+	// DialPeer and DialUpstream open TCP connections; nil selects the default
+	// dialer. Failure tests pass dialers whose connections they can cut.
 	DialPeer     func(ctx context.Context, address string) (net.Conn, error)
 	DialUpstream func(address string, timeout time.Duration) (net.Conn, error)
-	// ShareLease is the life of loans between home VMs, the same on all VMs; 0
-	// is the default. Tests shorten it, as a start waits for it.
+	// ShareLease is the duration of loans between home VMs, the same on all VMs; 0
+	// selects the default. Tests shorten it because a starting VM waits for it.
 	ShareLease time.Duration
 }
 
-// Daemon is one VM's process.
+// Daemon is the process that runs on one VM.
 type Daemon struct {
 	settings    *pb.Settings
 	log         *zap.Logger
@@ -70,39 +70,40 @@
 	registry    *prometheus.Registry
 	listeners   Options
 
-	engine   *query.Engine
-	router   *router.Router
-	owner    *owner.Owner
-	pool     *peer.Pool
-	server   *peer.Server
-	front    *frontend.Frontend
-	forwards *forwards
-	// operations answers callers through front, at most once where that counts.
+	engine    *query.Engine
+	router    *router.Router
+	owner     *owner.Owner
+	pool      *peer.Pool
+	server    *peer.Server
+	front     *frontend.Frontend
+	forwarder *forwarder
+	// operations serves callers through front and runs non-idempotent requests at
+	// most once.
 	operations *frontend.Operations
 	caller     *callerapi.Server
 	operator   *operatorapi.Server
 	gossip     *gossip.Driver
-	// poison keeps requests that crash upstreams from them.
+	// poison blocks requests that crash upstreams.
 	poison *poison.Guard
 	auth   *peerauth.Authority
-	// ended has the reason for an end that was not asked for.
+	// ended receives the reason for an unplanned stop.
 	ended  chan error
 	shares *shares
 	status *statusHub
 
-	// table is read by the owner while mu is held.
+	// table is read by the owner while Daemon.mu is held.
 	table    atomic.Pointer[ownership.Table]
 	snapshot atomic.Pointer[contract.Snapshot]
 	view     atomic.Pointer[membership.View]
 	stopping atomic.Bool
-	stops    stops
+	stops    stopState
 
 	config *configSync
 
 	mu sync.Mutex
 }
 
-// New wires a daemon; Run starts it.
+// New returns a daemon that is not running yet; Run starts it.
 func New(s *pb.Settings, opts Options) (*Daemon, error) {
 	d := &Daemon{
 		settings:    s,
@@ -111,10 +112,10 @@
 		registry:    prometheus.NewRegistry(),
 		listeners:   opts,
 		ended:       make(chan error, 1),
-		stops:       stops{halt: make(chan struct{})},
+		stops:       stopState{halt: make(chan struct{})},
 	}
 	d.shares = newShares(d, share.Timing{Lease: cmp.Or(opts.ShareLease, share.DefaultLease)})
-	d.status = newStatusHub(d.learnStatus)
+	d.status = newStatusHub(d.updateStatus)
 	d.table.Store(ownership.Assign(nil, nil))
 	d.snapshot.Store(contract.Compile(0, nil))
 	d.view.Store(&membership.View{})
@@ -131,7 +132,8 @@
 	return d, d.wireInterfaces()
 }
 
-// wirePath builds the request's way, from the upstreams back to the frontend.
+// wirePath creates the components on the path of a request, in reverse order: owner,
+// peer pool, router, engine.
 func (d *Daemon) wirePath() {
 	d.owner = owner.New(owner.Options{
 		Log:           d.log,
@@ -172,8 +174,9 @@
 	})
 }
 
+// wireInterfaces creates the frontend and the servers for callers, operators and peers.
 func (d *Daemon) wireInterfaces() error {
-	ring := explain.NewRing(explainRequests)
+	ring := explain.NewRing(explainRingSize)
 	d.front = frontend.New(frontend.Options{
 		Log:       d.log,
 		Registry:  d.registry,
@@ -185,7 +188,7 @@
 		Now:       time.Now,
 		Unbounded: d.settings.Routing == pb.Routing_DIRECT,
 	})
-	d.forwards = newForwards(d)
+	d.forwarder = newForwarder(d)
 	d.operations = d.newOperations()
 	d.caller = callerapi.New(callerapi.Options{
 		Log:        d.log,
@@ -210,12 +213,14 @@
 	return nil
 }
 
-// Run serves until ctx ends, then stops as planned: requests in flight finish.
+// Run serves until ctx ends or a component fails, and then performs a planned stop. If
+// a newer process runs under the same VM name, it stops without announcing that it
+// leaves. Requests in flight finish in each case.
 func (d *Daemon) Run(ctx context.Context) error {
 	if err := d.listen(); err != nil {
 		return trace.Wrap(err)
 	}
-	// The parts outlive ctx: a planned stop needs them to finish requests.
+	// The components outlive ctx: a planned stop needs them to finish requests.
 	run, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	d.engine.Start(run)
@@ -234,10 +239,10 @@
 	case <-ctx.Done():
 	case <-run.Done():
 	case ended = <-d.ended:
-		d.log.Error("daemon: must not go on", zap.Error(ended))
+		d.log.Error("daemon: stopping after a fatal error", zap.Error(ended))
 	}
 	d.stop(ended == nil)
-	d.forwards.close()
+	d.forwarder.close()
 	cancel()
 	d.engine.Wait()
 	d.pool.Close()
@@ -250,6 +255,7 @@
 	return trace.Wrap(err)
 }
 
+// listen opens the listeners that Options left nil.
 func (d *Daemon) listen() error {
 	var errs []error
 	open := func(ln *net.Listener, address string) {
@@ -271,10 +277,11 @@
 	return trace.NewAggregate(errs...)
 }
 
-// apply routes by a new view or snapshot. The caller holds mu.
+// apply computes ownership from a view and a snapshot and updates the router and the
+// owner. The caller holds mu.
 func (d *Daemon) apply(view *membership.View, snap *contract.Snapshot) {
 	d.view.Store(view)
-	table := d.tableFor(view, func(serving []membership.Member) *ownership.Table {
+	table := d.ownershipTable(view, func(serving []membership.Member) *ownership.Table {
 		return ownership.Assign(serving, snap.Upstreams())
 	})
 	d.table.Store(table)
--- a/internal/daemon/endpoints.go
+++ b/internal/daemon/endpoints.go
@@ -12,22 +12,22 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// homes is the home set of every customer under one revision. It is immutable.
-type homes struct {
+// homeSets holds the home set of every customer at one revision. It is immutable.
+type homeSets struct {
 	sets map[string]homeset.Set
 }
 
-func homesOf(snap *contract.Snapshot) *homes {
+func newHomeSets(snap *contract.Snapshot) *homeSets {
 	chooser := homeset.NewChooser(snap.VMs())
 	customers := snap.Customers()
-	h := &homes{sets: make(map[string]homeset.Set, len(customers))}
+	h := &homeSets{sets: make(map[string]homeset.Set, len(customers))}
 	for _, c := range customers {
 		h.sets[c.Name] = chooser.Choose(c.Name, totalRate(c))
 	}
 	return h
 }
 
-// totalRate is the contracted rate of all kinds, in requests a second.
+// totalRate returns the contracted rate of all kinds together, in requests per second.
 func totalRate(c *contract.Customer) float64 {
 	sum := 0.0
 	for _, k := range c.Kinds {
@@ -36,9 +36,9 @@
 	return sum
 }
 
-// Endpoints is the addresses of the customer's home VMs, nearest first. What
-// gossip says of liveness only leaves VMs out; where it would leave out all of
-// them it is not believed.
+// Endpoints returns the addresses of the customer's home VMs, nearest first. VMs
+// that gossip reports as not serving are left out, unless that would leave none:
+// then all home VMs are returned.
 func (d *Daemon) Endpoints(c *contract.Customer) callerapi.Endpoints {
 	set := d.shares.home(c.Name)
 	vms := d.serving(set.VMs)
@@ -53,7 +53,7 @@
 	return out
 }
 
-// serving is the VMs that may be given new work.
+// serving returns those of vms that accept new work.
 func (d *Daemon) serving(vms []*pb.VM) []*pb.VM {
 	view := d.view.Load()
 	var out []*pb.VM
@@ -65,15 +65,18 @@
 	return out
 }
 
-// order puts this data centre first and this region next. Within each the
-// customer and this VM fix the order, so that customers with the same home set
-// do not all begin with the same VM.
+// order sorts vms by distance: this data centre first, then this region, then the
+// rest. Within each group the order is shuffled with a seed made from the customer
+// and this VM, so that customers with the same home set do not all start with the
+// same VM.
 func (d *Daemon) order(customer string, vms []*pb.VM) {
 	random := rand.New(rand.NewPCG(xxhash.Sum64String(customer), xxhash.Sum64String(d.settings.Vm)))
 	random.Shuffle(len(vms), func(i, j int) { vms[i], vms[j] = vms[j], vms[i] })
 	sort.SliceStable(vms, func(i, j int) bool { return d.distance(vms[i]) < d.distance(vms[j]) })
 }
 
+// distance returns 0 for a VM in this data centre, 1 for one in this region and 2
+// for any other.
 func (d *Daemon) distance(vm *pb.VM) int {
 	switch {
 	case vm.DataCentre == d.settings.DataCentre:
--- a/internal/daemon/forward.go
+++ b/internal/daemon/forward.go
@@ -14,20 +14,20 @@
 	"sycamorekeel.example/sycamorekeel/internal/refusal"
 )
 
-// forwardIDs keeps the ids of forwards apart from those of sub-requests, which
-// share the streams and never have the highest bit.
-const forwardIDs = 1 << 63
+// forwardIDBit is the bit that is set in the ids of forwards. Sub-requests use the same
+// streams and never set the highest bit, so their ids cannot collide.
+const forwardIDBit = 1 << 63
 
-// newOperations makes this incarnation's operations. Its secret is never stored
-// or sent: with the process ends every lease it gave.
+// newOperations returns the at-most-once operations of this incarnation. Their secret
+// is random and never stored or sent, so every lease ends with the process.
 func (d *Daemon) newOperations() *frontend.Operations {
 	secret := make([]byte, once.KeySize)
-	// It never fails: the runtime ends the process when there is no randomness.
+	// rand.Read never fails: the runtime ends the process without randomness.
 	_, _ = rand.Read(secret)
 	return frontend.NewOperations(frontend.OperationsOptions{
 		Registry:    d.registry,
 		Frontend:    d.front,
-		Forwarder:   d.forwards,
+		Forwarder:   d.forwarder,
 		VM:          d.settings.Vm,
 		Incarnation: d.incarnation,
 		Secret:      secret,
@@ -37,59 +37,61 @@
 	})
 }
 
-// forwards carries non-idempotent requests to the VMs their keys name, and
-// serves those that name this one.
+// forwarder sends non-idempotent requests to the VMs that their operation keys name,
+// and runs the requests that peers forward to this VM.
 //
-// Lock order: forwards.mu is a leaf.
-type forwards struct {
+// Lock order: forwarder.mu is a leaf.
+type forwarder struct {
 	d      *Daemon
 	ctx    context.Context
 	cancel context.CancelFunc
 	serial atomic.Uint64
-	// room bounds the requests served for peers at a time.
-	room   chan struct{}
-	served sync.WaitGroup
+	// slots limits how many requests of peers run concurrently.
+	slots   chan struct{}
+	running sync.WaitGroup
 
 	mu      sync.Mutex
-	waiting map[uint64]chan forwarded
+	pending map[uint64]chan forwardResult
 	closed  bool
 }
 
-// forwarded is the end of one forward.
-type forwarded struct {
+// forwardResult is the outcome of one forward.
+type forwardResult struct {
 	reply *frontend.Reply
 	fate  frontend.Fate
 }
 
-func newForwards(d *Daemon) *forwards {
+func newForwarder(d *Daemon) *forwarder {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &forwards{
+	return &forwarder{
 		d:       d,
 		ctx:     ctx,
 		cancel:  cancel,
-		room:    make(chan struct{}, d.settings.Limits.MaxQueries),
-		waiting: map[uint64]chan forwarded{},
+		slots:   make(chan struct{}, d.settings.Limits.MaxQueries),
+		pending: map[uint64]chan forwardResult{},
 	}
 }
 
-// close abandons what is still served for peers and waits for it to end.
-func (f *forwards) close() {
+// close cancels the running requests of peers and waits until they have returned.
+// Later ones are refused.
+func (f *forwarder) close() {
 	f.mu.Lock()
 	f.closed = true
 	f.mu.Unlock()
 	f.cancel()
-	f.served.Wait()
+	f.running.Wait()
 }
 
-// Forward sends the request to the VM its key names, once.
-func (f *forwards) Forward(ctx context.Context, k *contract.Kind, req *frontend.Request, key *once.Key) (*frontend.Reply, frontend.Fate) {
+// Forward sends the request once to the VM that its key names and waits for the reply
+// until ctx ends. The reply is nil unless the fate is FateAnswered.
+func (f *forwarder) Forward(ctx context.Context, k *contract.Kind, req *frontend.Request, key *once.Key) (*frontend.Reply, frontend.Fate) {
 	m, ok := f.d.view.Load().Find(key.VM)
 	if !ok || key.VM == f.d.settings.Vm || m.State == pb.MemberState_DEAD || m.Incarnation > key.Incarnation {
 		return nil, frontend.FateGone
 	}
 	deadline, _ := ctx.Deadline()
-	id := f.serial.Add(1) | forwardIDs
-	end := f.expect(id)
+	id := f.serial.Add(1) | forwardIDBit
+	result := f.expect(id)
 	defer f.forget(id)
 	sent := f.d.pool.Send(m.PeerAddress, &pb.Frame{Body: &pb.Frame_Forward{Forward: &pb.Forward{
 		Id:          id,
@@ -103,41 +105,42 @@
 		return nil, frontend.FateNotSent
 	}
 	select {
-	case e := <-end:
-		return e.reply, e.fate
+	case r := <-result:
+		return r.reply, r.fate
 	case <-ctx.Done():
 		return nil, frontend.FateLost
 	}
 }
 
-func (f *forwards) expect(id uint64) chan forwarded {
-	end := make(chan forwarded, 1)
+// expect registers a forward and returns the channel that receives its outcome.
+func (f *forwarder) expect(id uint64) chan forwardResult {
+	result := make(chan forwardResult, 1)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.waiting[id] = end
-	return end
+	f.pending[id] = result
+	return result
 }
 
-func (f *forwards) forget(id uint64) {
+func (f *forwarder) forget(id uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.waiting, id)
+	delete(f.pending, id)
 }
 
-// settle ends a forward. A late or repeated end finds nobody and is dropped.
-func (f *forwards) settle(id uint64, e forwarded) {
+// deliver delivers the outcome of a forward. A late or duplicate outcome is dropped.
+func (f *forwarder) deliver(id uint64, r forwardResult) {
 	f.mu.Lock()
-	end := f.waiting[id]
-	delete(f.waiting, id)
+	result := f.pending[id]
+	delete(f.pending, id)
 	f.mu.Unlock()
-	if end != nil {
-		end <- e
+	if result != nil {
+		result <- r
 	}
 }
 
-// replied takes a peer's answer to a forward.
-func (f *forwards) replied(r *pb.ForwardReply) {
-	f.settle(r.Id, forwarded{fate: frontend.FateAnswered, reply: &frontend.Reply{
+// handleReply handles a peer's reply to a forward.
+func (f *forwarder) handleReply(r *pb.ForwardReply) {
+	f.deliver(r.Id, forwardResult{fate: frontend.FateAnswered, reply: &frontend.Reply{
 		Status:     int(r.Status),
 		RequestID:  r.RequestId,
 		RetryAfter: time.Duration(r.RetryAfterMs) * time.Millisecond,
@@ -145,59 +148,62 @@
 	}})
 }
 
-// lost takes the end of a stream that owed a reply.
-func (f *forwards) lost(r *pb.Forward, written bool) {
+// handleLost handles the loss of the stream on which a reply was due. written reports whether
+// the request may have reached the peer.
+func (f *forwarder) handleLost(r *pb.Forward, written bool) {
 	fate := frontend.FateNotSent
 	if written {
 		fate = frontend.FateLost
 	}
-	f.settle(r.Id, forwarded{fate: fate})
+	f.deliver(r.Id, forwardResult{fate: fate})
 }
 
-// serve runs a forwarded request in a goroutine of its own: such requests come
-// at the rate of callers, not of sub-requests.
-func (f *forwards) serve(r *pb.Forward, reply func(*pb.Frame)) {
+// handleRequest runs a forwarded request in its own goroutine. That is affordable because
+// forwards arrive at the rate of callers' requests, not of sub-requests.
+func (f *forwarder) handleRequest(r *pb.Forward, reply func(*pb.Frame)) {
 	if f.d.gossip.InDoubt(time.Now()) {
-		answer(r, away(r, "the VM that the key names was paused and asks its peers first"), false, reply)
+		replyForward(r, refuseForward(r, "the VM that the key names was paused and asks its peers first"), false, reply)
 		return
 	}
-	if !f.enter() {
-		answer(r, away(r, "the VM that the key names serves too many forwarded requests"), false, reply)
+	if !f.acquire() {
+		replyForward(r, refuseForward(r, "the VM that the key names serves too many forwarded requests"), false, reply)
 		return
 	}
 	go func() {
-		defer f.served.Done()
-		defer func() { <-f.room }()
+		defer f.running.Done()
+		defer func() { <-f.slots }()
 		out, accepted := f.run(r)
-		answer(r, out, accepted, reply)
+		replyForward(r, out, accepted, reply)
 	}()
 }
 
-// enter takes room for one request; it fails when there is none or when this VM
-// has stopped.
-func (f *forwards) enter() bool {
+// acquire reserves a slot for one request. It returns false if no slot is free or if
+// the forwarder is closed.
+func (f *forwarder) acquire() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
 		return false
 	}
 	select {
-	case f.room <- struct{}{}:
-		f.served.Add(1)
+	case f.slots <- struct{}{}:
+		f.running.Add(1)
 		return true
 	default:
 		return false
 	}
 }
 
-func (f *forwards) run(r *pb.Forward) (out *frontend.Reply, accepted bool) {
-	k := f.kind(r)
+// run executes a forwarded request. accepted reports whether it reached the table of
+// operations.
+func (f *forwarder) run(r *pb.Forward) (out *frontend.Reply, accepted bool) {
+	k := f.lookupKind(r)
 	if k == nil {
-		return away(r, "the VM that the key names does not know the kind yet"), false
+		return refuseForward(r, "the VM that the key names does not know the kind yet"), false
 	}
 	key, err := once.ParseKey(r.Operation)
 	if err != nil {
-		return away(r, "the forwarded key could not be read"), false
+		return refuseForward(r, "the forwarded key could not be read"), false
 	}
 	req := &frontend.Request{
 		Body:      r.Body,
@@ -207,9 +213,9 @@
 	return f.d.operations.Local(f.ctx, k, req, key), true
 }
 
-// kind is the kind as this VM's configuration has it; nil unless it is
-// non-idempotent here too.
-func (f *forwards) kind(r *pb.Forward) *contract.Kind {
+// lookupKind returns the request's kind from this VM's configuration, or nil if the kind is
+// unknown or idempotent here.
+func (f *forwarder) lookupKind(r *pb.Forward) *contract.Kind {
 	c, ok := f.d.snapshot.Load().Customer(r.Customer)
 	if !ok {
 		return nil
@@ -221,13 +227,15 @@
 	return k
 }
 
-// away refuses a copy that did not reach the table: earlier ones may have.
-func away(r *pb.Forward, why string) *frontend.Reply {
+// refuseForward returns the refusal of a copy that did not reach the table of operations. It
+// leaves open whether the operation ran, because an earlier copy may have.
+func refuseForward(r *pb.Forward, why string) *frontend.Reply {
 	e := &refusal.Error{Reason: refusal.OperationAway, Ran: refusal.Unknown, Detail: why + "; this copy was not run, send the same key again"}
 	return frontend.Refused(&frontend.Failure{Error: e.After(time.Second), Operation: r.Operation})
 }
 
-func answer(r *pb.Forward, out *frontend.Reply, accepted bool, reply func(*pb.Frame)) {
+// replyForward sends the reply to a forward to the peer.
+func replyForward(r *pb.Forward, out *frontend.Reply, accepted bool, reply func(*pb.Frame)) {
 	reply(&pb.Frame{Body: &pb.Frame_ForwardReply{ForwardReply: &pb.ForwardReply{
 		Id:           r.Id,
 		Status:       uint32(out.Status),
--- a/internal/daemon/grant.go
+++ b/internal/daemon/grant.go
@@ -6,12 +6,12 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// grant is what this VM may use of an upstream now.
+// grant returns the capacity of an upstream that this VM may use now.
 func (d *Daemon) grant(u *contract.Upstream) owner.Grant {
 	if d.settings.Routing == pb.Routing_DIRECT {
 		return directGrant(u, len(d.view.Load().Serving()))
 	}
-	p := d.granting().Place(u.ID)
+	p := d.grantTable().Place(u.ID)
 	switch d.settings.Vm {
 	case p.Owner:
 		return owner.GrantFor(owner.Main, u)
@@ -22,7 +22,8 @@
 	}
 }
 
-// directGrant divides an upstream evenly over the VMs: the baseline.
+// directGrant divides the capacity of an upstream evenly over the VMs. It is used
+// with direct routing, the baseline for comparisons.
 func directGrant(u *contract.Upstream, vms int) owner.Grant {
 	vms = max(1, vms)
 	return owner.Grant{
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -13,7 +13,7 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// newGossip makes the driver of this VM's membership.
+// newGossip returns the gossip driver that maintains this VM's membership.
 func (d *Daemon) newGossip() *gossip.Driver {
 	s := d.settings
 	return gossip.New(gossip.Options{
@@ -35,7 +35,7 @@
 			Seed:  rand.Uint64(),
 		},
 		Callbacks: gossip.Callbacks{
-			View:        d.takeView,
+			View:        d.applyView,
 			Revalidate:  d.revalidate,
 			Revalidated: d.revalidated,
 			Superseded:  d.superseded,
@@ -45,8 +45,9 @@
 	})
 }
 
-// takeView routes by a view of gossip, unless a newer one has been taken.
-func (d *Daemon) takeView(v *membership.View) {
+// applyView applies a membership view from gossip, unless it is not newer than the
+// current one.
+func (d *Daemon) applyView(v *membership.View) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	before := d.view.Load()
@@ -55,8 +56,8 @@
 	}
 	d.logChanges(before, v)
 	if sameServing(before.Serving(), v.Serving()) {
-		// A suspicion, or the death of a VM that was leaving: nobody owns
-		// anything else by it, so 2,500 upstreams need not be assigned again.
+		// A VM became suspect, or one that was leaving died. Ownership does not
+		// change, so 2,500 upstreams need not be assigned again.
 		d.view.Store(v)
 		d.router.Update(v, d.table.Load())
 		return
@@ -64,7 +65,8 @@
 	d.apply(v, d.snapshot.Load())
 }
 
-// sameServing tells whether two views give the same VMs work at the same places.
+// sameServing reports whether two lists hold the same serving members, apart from
+// their states.
 func sameServing(a, b []membership.Member) bool {
 	return slices.EqualFunc(a, b, func(m, n membership.Member) bool {
 		m.State, n.State = 0, 0
@@ -72,7 +74,7 @@
 	})
 }
 
-// logChanges tells which members changed their state.
+// logChanges logs each member whose state or incarnation changed.
 func (d *Daemon) logChanges(before, after *membership.View) {
 	for i := range after.Members {
 		m := &after.Members[i]
@@ -87,18 +89,19 @@
 	}
 }
 
-// revalidate is told that this process was paused.
+// revalidate is called when gossip detects that this process was paused.
 func (d *Daemon) revalidate() {
 	d.log.Warn("membership: this process was paused, no new work until peers have answered")
 }
 
-// revalidated is told that peers have answered, or that there is none.
+// revalidated is called when peers have answered after a pause. alone is set when
+// there are no peers to ask.
 func (d *Daemon) revalidated(alone bool) {
 	d.log.Info("membership: views are valid again", zap.Bool("alone", alone))
 }
 
-// superseded ends this process: a newer one has its name, and two with one name
-// would both take the work that is addressed to it.
+// superseded ends this process because a newer process runs under the same VM name.
+// Two processes with one name would both accept the work addressed to it.
 func (d *Daemon) superseded(incarnation uint64) {
 	err := trace.CompareFailed("a newer process serves as %s, incarnation %d", d.settings.Vm, incarnation)
 	select {
--- a/internal/daemon/readiness.go
+++ b/internal/daemon/readiness.go
@@ -6,8 +6,8 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// learnStatus takes the status of an upstream from its owner, this VM's or
-// another's.
-func (d *Daemon) learnStatus(st *pb.UpstreamStatus) {
+// updateStatus passes the status of an upstream to the router. The status comes from
+// the upstream's owner, on this VM or on a peer.
+func (d *Daemon) updateStatus(st *pb.UpstreamStatus) {
 	d.router.Status(time.Now(), st)
 }
--- a/internal/daemon/shares.go
+++ b/internal/daemon/shares.go
@@ -18,38 +18,39 @@
 )
 
 const (
-	// wrongVMRetry is when a caller that reached a VM outside its home set may
-	// come back: at once, after it has asked for endpoints.
-	wrongVMRetry = 10 * time.Millisecond
-	// longestFill bounds how long a VM waits after a start for the first token
-	// of each kind before it says that it is ready.
-	longestFill = 2 * time.Second
+	// wrongVMRetryAfter is the retry delay for callers that reached a VM outside their
+	// home set. It is short, as they can retry as soon as they have fetched endpoints.
+	wrongVMRetryAfter = 10 * time.Millisecond
+	// maxFillWait is the maximum time that a starting VM waits for the first token
+	// of each kind before it reports that it is ready.
+	maxFillWait = 2 * time.Second
 )
 
-// shares admits requests within this VM's share of every limit and steps the
+// shares admits requests within this VM's share of every limit and runs the
 // protocol that moves shares between the home VMs.
 //
-// Lock order: shares.mu is a leaf. It guards the shares and the admission
-// together, so that a share is in force here before a peer hears of it.
+// Lock order: shares.mu is a leaf. It guards the protocol state and the admission
+// controller together, so that a changed share applies here before a peer is sent
+// the change.
 type shares struct {
-	d      *Daemon
-	timing share.Timing
-	homes  atomic.Pointer[homes]
-	met    *shareMetrics
-	ready  atomic.Bool
+	d       *Daemon
+	timing  share.Timing
+	homes   atomic.Pointer[homeSets]
+	metrics *shareMetrics
+	ready   atomic.Bool
 
 	mu         sync.Mutex
 	state      *share.State
 	controller *admission.Controller
-	// served is the kinds of the customers whose home this VM is.
+	// served lists the kinds of the customers whose home set contains this VM.
 	served []share.Kind
 }
 
 func newShares(d *Daemon, timing share.Timing) *shares {
 	s := &shares{
-		timing: timing,
-		d:      d,
-		met:    newShareMetrics(d.registry),
+		timing:  timing,
+		d:       d,
+		metrics: newShareMetrics(d.registry),
 		state: share.New(share.Options{
 			VM:          d.settings.Vm,
 			Incarnation: d.incarnation,
@@ -58,13 +59,13 @@
 		}),
 		controller: admission.New(int(d.settings.Limits.MaxQueries)),
 	}
-	s.homes.Store(&homes{})
+	s.homes.Store(&homeSets{})
 	return s
 }
 
-// configure takes a new snapshot in force.
+// configure applies the home sets, weights and limits of a new snapshot.
 func (s *shares) configure(snap *contract.Snapshot) {
-	h := homesOf(snap)
+	h := newHomeSets(snap)
 	var limits []share.Limit
 	var served []share.Kind
 	weights := map[string]int{}
@@ -92,13 +93,14 @@
 	s.step(share.Configured{Limits: limits})
 }
 
-// home is the customer's home set.
+// home returns the customer's home set.
 func (s *shares) home(customer string) homeset.Set {
 	return s.homes.Load().sets[customer]
 }
 
-// notReady says why no share may be used yet after a start, or is empty. Ready
-// means that a first request of each kind is let in.
+// notReady returns the reason why a starting VM may not use its shares yet, or "" if
+// it may. It waits until the loans of the former incarnation have expired and until
+// a first request of each kind would be admitted, the latter for maxFillWait at most.
 func (s *shares) notReady() string {
 	if s.ready.Load() {
 		return ""
@@ -109,16 +111,16 @@
 	if !s.state.Settled(now) {
 		return "this VM waits until the loans of its former incarnation have ended"
 	}
-	if !s.filled(now) && !s.state.Settled(now.Add(-longestFill)) {
+	if !s.admitsServedKinds(now) && !s.state.Settled(now.Add(-maxFillWait)) {
 		return "this VM's part of a low rate does not allow a first request yet"
 	}
 	s.ready.Store(true)
 	return ""
 }
 
-// filled tells whether each kind that is served here would be let in. The
-// caller holds mu.
-func (s *shares) filled(now time.Time) bool {
+// admitsServedKinds reports whether a request of each served kind would be admitted. The caller
+// holds mu.
+func (s *shares) admitsServedKinds(now time.Time) bool {
 	for _, kind := range s.served {
 		if !s.controller.Ready(now, kind) {
 			return false
@@ -127,7 +129,7 @@
 	return true
 }
 
-// run ticks until ctx ends.
+// run steps the protocol at every tick until ctx ends.
 func (s *shares) run(ctx context.Context) error {
 	tick := time.NewTicker(s.timing.Tick())
 	defer tick.Stop()
@@ -141,21 +143,21 @@
 	}
 }
 
-// loan takes a loan of a peer.
-func (s *shares) loan(from *pb.Hello, m *pb.ShareLoan) {
-	s.met.received.WithLabelValues("loan").Inc()
+// handleLoan handles a loan from a peer.
+func (s *shares) handleLoan(from *pb.Hello, m *pb.ShareLoan) {
+	s.metrics.received.WithLabelValues("loan").Inc()
 	s.step(share.Lent{From: from.Vm, Message: m})
 }
 
-// ack takes a peer's confirmation or its demand.
-func (s *shares) ack(from *pb.Hello, m *pb.ShareAck) {
-	s.met.received.WithLabelValues("ack").Inc()
+// handleAck handles a peer's confirmation of a loan or its demand for one.
+func (s *shares) handleAck(from *pb.Hello, m *pb.ShareAck) {
+	s.metrics.received.WithLabelValues("ack").Inc()
 	s.step(share.Ack{From: from.Vm, Message: m})
 }
 
-// step takes an event in, nil being a tick. Shares are set under the lock that
-// admits requests, and messages go out after it: what is lent is out of use
-// before the borrower can hear of it.
+// step passes an event to the protocol; nil is a tick. Shares change under the lock
+// that admits requests, and messages are sent after its release, so that a lent
+// amount is out of use here before the borrower can receive it.
 func (s *shares) step(e share.Event) {
 	s.mu.Lock()
 	now := time.Now()
@@ -174,7 +176,8 @@
 	}
 }
 
-// set puts a share in force. The caller holds mu.
+// set applies a share to the admission controller, and removes the kind if the share
+// is empty. The caller holds mu.
 func (s *shares) set(now time.Time, a share.Set) {
 	s.controller.SetShare(now, a.Kind, a.Share)
 	if a.Share.Base == (share.Amount{}) && len(a.Share.Loans) == 0 {
@@ -185,44 +188,44 @@
 func (s *shares) send(a share.Action) {
 	switch a := a.(type) {
 	case share.SendAck:
-		s.frame(a.To, a.Message.Customer, "ack", &pb.Frame{Body: &pb.Frame_ShareAck{ShareAck: a.Message}})
+		s.sendFrame(a.To, a.Message.Customer, "ack", &pb.Frame{Body: &pb.Frame_ShareAck{ShareAck: a.Message}})
 	case share.SendLoan:
-		s.frame(a.To, a.Message.Customer, "loan", &pb.Frame{Body: &pb.Frame_ShareLoan{ShareLoan: a.Message}})
+		s.sendFrame(a.To, a.Message.Customer, "loan", &pb.Frame{Body: &pb.Frame_ShareLoan{ShareLoan: a.Message}})
 	}
 }
 
-// frame sends to a home VM at its published address; what is lost is made good
-// by a later request or by the end of the lease.
-func (s *shares) frame(to, customer, what string, f *pb.Frame) {
+// sendFrame sends a frame to a home VM at its published address. Lost frames are not
+// resent: a later demand or the expiry of the lease corrects the shares.
+func (s *shares) sendFrame(to, customer, what string, f *pb.Frame) {
 	set := s.home(customer)
 	i := set.Index(to)
 	if i < 0 || !s.d.pool.Send(set.VMs[i].PeerAddress, f) {
-		s.met.unsent.Inc()
+		s.metrics.unsent.Inc()
 		return
 	}
-	s.met.sent.WithLabelValues(what).Inc()
+	s.metrics.sent.WithLabelValues(what).Inc()
 }
 
-// Admit starts a request or says why it may not start.
+// Admit admits a request, or returns the refusal if it may not start.
 func (s *shares) Admit(k *contract.Kind, budget time.Duration) *refusal.Error {
 	if !s.home(k.Customer).Contains(s.d.settings.Vm) {
-		return refusal.New(refusal.WrongVM, "this VM does not serve the customer; ask for endpoints").After(wrongVMRetry)
+		return refusal.New(refusal.WrongVM, "this VM does not serve the customer; ask for endpoints").After(wrongVMRetryAfter)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// The time is read under the lock: one read before it could be old, and a
-	// loan that has ended would still count.
+	// Read the clock under the lock: a time read before a wait for the lock would
+	// be stale, and a loan that has expired would still count.
 	return s.controller.Admit(time.Now(), k, budget)
 }
 
-// Done ends an admitted request.
+// Done releases an admitted request. took is its duration.
 func (s *shares) Done(k *contract.Kind, took time.Duration, answered bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.controller.Done(time.Now(), k, took, answered)
 }
 
-// shareMetrics counts the messages about shares.
+// shareMetrics counts the messages of the share protocol.
 type shareMetrics struct {
 	sent     *prometheus.CounterVec
 	received *prometheus.CounterVec
--- a/internal/daemon/shares_test.go
+++ b/internal/daemon/shares_test.go
@@ -27,7 +27,7 @@
 	searchBurst = 30
 )
 
-// searches is a customer with one kind.
+// searches is the document of a customer with one kind.
 var searches = standin.Office(standin.Kind{
 	Name: "search", Service: "leases", RatePerSecond: searchRate, Concurrency: 12, DeadlineMS: 2000, CoverageFloor: 1, Idempotent: true, RetryPercent: 10, Merge: "top_k",
 }) + standin.Service{
@@ -51,7 +51,7 @@
 		f.Close()
 		NewWithT(t).Eventually(func() error {
 			return goleak.Find(leaks,
-				// Library goroutines that end by themselves or live on.
+				// Library goroutines that end later or never.
 				goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.(*workerPool).Start.func2"),
 				goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"),
 				goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.(*HostClient).connsCleaner"),
@@ -62,7 +62,7 @@
 	return f
 }
 
-// caller sends requests over connections of its own.
+// caller is an HTTP client with its own connections.
 type caller struct {
 	g      *WithT
 	client fasthttp.Client
@@ -95,16 +95,16 @@
 	return out
 }
 
-// search returns the status and, when it is no answer, the refusal.
+// search sends one search and returns its status and, if it was refused, the error.
 func (c *caller) search(address string) (int, callerapi.ErrorBody) {
 	var e callerapi.ErrorBody
 	status := c.do(http.MethodPost, address+callerapi.QueryPath+"search", `{"query":"x"}`, &e)
 	return status, e
 }
 
-// Symptom: a customer's load reaches VMs that hold no part of its limits.
-// Sequence: four VMs, a home set of three; a caller keeps to the fourth.
-// Cause: endpoints that name every VM, or a VM that serves whoever comes.
+// Guards against load on VMs that hold no share of a customer's limits. With four
+// VMs and a home set of three, requests to the fourth must be refused. The failure
+// occurs if endpoints list every VM or a VM serves any customer.
 func TestOnlyHomeVMsServeACustomer(t *testing.T) {
 	f := startSearches(t, 4)
 	c := &caller{g: NewWithT(t)}
@@ -125,10 +125,10 @@
 	}
 }
 
-// Symptom: a contract is exceeded, or callers at one VM get a third of it.
-// Sequence: all requests go to one home VM until it has borrowed, then to all.
-// Cause: loans used at both ends, or never made.
-func TestLoansReachTheBusyVMAndKeepTheContract(t *testing.T) {
+// Guards against an exceeded contract, and against callers at one VM getting only a
+// third of it. All requests go to one home VM until it has borrowed, then to all.
+// The failures occur if lender and borrower both use a loan or no loan is made.
+func TestBusyVMBorrowsWithinContract(t *testing.T) {
 	f := startSearches(t, 3)
 	c := &caller{g: NewWithT(t)}
 	defer c.client.CloseIdleConnections()
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -6,12 +6,12 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// statusHub tells the connected peers and this VM's router what its owner
-// believes of its upstreams: each change, and everything to a peer whose stream
-// opens. It implements owner.StatusSink.
+// statusHub sends the status of the upstreams that this VM owns to the connected
+// peers and to this VM's router. It sends each change, and all statuses to a peer
+// whose stream opens. It implements owner.StatusSink.
 //
-// Its lock is held while frames are queued, so that a peer whose stream opens
-// cannot get an older status after a newer one; queueing does not block.
+// mu is held while frames are queued, so that a newly connected peer cannot receive
+// an older status after a newer one. Queueing does not block.
 type statusHub struct {
 	mu      sync.Mutex
 	last    map[string]*pb.UpstreamStatus
@@ -19,7 +19,8 @@
 	local   func(*pb.UpstreamStatus)
 }
 
-// newStatusHub gives every status to local, this VM's own router, as well.
+// newStatusHub returns a hub without peers. It also passes every status to local,
+// which updates this VM's router.
 func newStatusHub(local func(*pb.UpstreamStatus)) *statusHub {
 	return &statusHub{
 		local:   local,
@@ -40,15 +41,16 @@
 	}
 }
 
-// UpstreamLost implements owner.StatusSink. Peers hear from the new owner.
+// UpstreamLost implements owner.StatusSink. It sends nothing, because the new owner
+// sends the status to the peers.
 func (h *statusHub) UpstreamLost(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.last, id)
 }
 
-// open tells a peer everything and, from now on, each change.
-func (h *statusHub) open(from *pb.Hello, reply func(*pb.Frame)) {
+// subscribe sends all statuses to a peer and subscribes it to changes.
+func (h *statusHub) subscribe(from *pb.Hello, reply func(*pb.Frame)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, st := range h.last {
@@ -57,7 +59,8 @@
 	h.streams[from] = reply
 }
 
-func (h *statusHub) gone(from *pb.Hello) {
+// unsubscribe removes a peer whose stream has ended.
+func (h *statusHub) unsubscribe(from *pb.Hello) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.streams, from)
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -13,39 +13,40 @@
 )
 
 const (
-	// announcements of leaving go out so often, announceEvery apart: one lost
-	// datagram must not leave a peer unaware.
-	announcements = 3
-	announceEvery = 100 * time.Millisecond
-	// handover is how long a leaving VM goes on with the upstreams it owned:
-	// until the peers have heard and send to the new owners.
-	handover = time.Second
-	// leaveSpread is how long a VM may still be named to callers by peers that
-	// have not heard that it leaves.
-	leaveSpread = 2 * time.Second
-	// stopPoll is how often a stop looks whether it may go on.
-	stopPoll = 20 * time.Millisecond
+	// leaveAnnouncements is the number of times that a VM announces that it leaves, at
+	// intervals of announceInterval. Repeating it covers the loss of a datagram.
+	leaveAnnouncements = 3
+	announceInterval   = 100 * time.Millisecond
+	// handoverPeriod is how long a leaving VM keeps serving the upstreams that it owned,
+	// so that the announcement reaches all peers and they send to the new owners.
+	handoverPeriod = time.Second
+	// leavePropagation is how long peers that the announcement has not reached may still
+	// return the leaving VM as an endpoint to callers.
+	leavePropagation = 2 * time.Second
+	// stopPollInterval is the interval at which a stop checks whether it can proceed.
+	stopPollInterval = 20 * time.Millisecond
 )
 
-// stops is the state of a planned stop.
-type stops struct {
-	// leaving is set from the announcement on: this VM still serves.
+// stopState holds the state of a planned stop.
+type stopState struct {
+	// leaving is set when the stop is announced. The VM still serves then.
 	leaving atomic.Bool
-	// owned is the table that a leaving VM goes on with, nil otherwise.
+	// owned is the ownership table that a leaving VM keeps using, nil otherwise.
 	owned atomic.Pointer[ownership.Table]
 	halt  chan struct{}
 	once  sync.Once
 }
 
-// Halt ends the waits of a planned stop: what is in flight is cut off.
+// Halt ends the waits of a planned stop and cuts off the requests in flight. It may
+// be called more than once.
 func (d *Daemon) Halt() {
 	d.stops.once.Do(func() { close(d.stops.halt) })
 }
 
-// stop takes this VM out of service: peers and callers are sent elsewhere
-// first, then new requests are refused, then what is in flight finishes.
-// Callers keep what endpoints told them for its time to live, so refusing
-// earlier would refuse requests that this VM can well answer.
+// stop takes this VM out of service. A planned stop first redirects peers and
+// callers to other VMs. Then new requests are refused, and those in flight finish
+// within the drain limit. Callers cache endpoints for their TTL, so refusing earlier
+// would reject requests that this VM can still serve.
 func (d *Daemon) stop(planned bool) {
 	d.log.Info("daemon: stopping, requests in flight finish first")
 	if planned {
@@ -62,7 +63,7 @@
 		}
 	}()
 	d.front.Stop(ctx)
-	d.endOwning()
+	d.releaseOwned()
 	d.stopOwner(ctx)
 	d.server.Flush(ctx)
 	if err := d.caller.Shutdown(ctx); err != nil {
@@ -71,58 +72,60 @@
 	if err := d.operator.Shutdown(ctx); err != nil {
 		d.log.Warn("daemon: operators were cut off", zap.Error(err))
 	}
-	// A server that is told to shut down before it has begun to serve forgets
-	// that and serves for ever: the process of a VM that is stopped while it
-	// starts would hang. A closed listener ends it in either order.
+	// A server ignores a Shutdown that precedes Serve and then serves forever, so a
+	// process that is stopped during its start would hang. Closing the listeners
+	// ends Serve in either order.
 	_ = d.listeners.Caller.Close()
 	_ = d.listeners.Operator.Close()
 }
 
-// leave announces the stop and serves on until no caller can hold this VM's
-// address any more. Where no other VM serves there is nowhere to send callers.
+// leave announces the stop and keeps serving until this VM's address has expired at
+// all callers. After the announcements it does not wait if no other VM serves,
+// because callers then have no alternative.
 func (d *Daemon) leave() {
 	d.stops.owned.Store(d.table.Load())
 	d.stops.leaving.Store(true)
 	start := time.Now()
-	for range announcements {
+	for range leaveAnnouncements {
 		d.gossip.Leave()
-		d.wait(announceEvery, func() bool { return false })
+		d.wait(announceInterval, func() bool { return false })
 	}
-	d.wait(handover-time.Since(start), d.alone)
-	d.endOwning()
+	d.wait(handoverPeriod-time.Since(start), d.noOtherServes)
+	d.releaseOwned()
 	ttl := time.Duration(d.settings.Limits.EndpointsTtlMs) * time.Millisecond
-	d.wait(leaveSpread+ttl-time.Since(start), d.alone)
-	d.log.Info("daemon: no caller is sent here any more", zap.Duration("after", time.Since(start)))
+	d.wait(leavePropagation+ttl-time.Since(start), d.noOtherServes)
+	d.log.Info("daemon: this VM is no longer advertised to callers", zap.Duration("after", time.Since(start)))
 }
 
-// wait waits for t, until done or until Halt.
+// wait blocks until t has passed, done returns true or Halt is called.
 func (d *Daemon) wait(t time.Duration, done func() bool) {
 	end := time.Now().Add(t)
 	for time.Now().Before(end) && !done() {
 		select {
 		case <-d.stops.halt:
 			return
-		case <-time.After(min(stopPoll, time.Until(end))):
+		case <-time.After(min(stopPollInterval, time.Until(end))):
 		}
 	}
 }
 
-// alone tells whether no other VM serves.
-func (d *Daemon) alone() bool {
+// noOtherServes reports whether no other VM serves. It is valid once this VM is leaving,
+// because its own entry does not count as serving then.
+func (d *Daemon) noOtherServes() bool {
 	return len(d.view.Load().Serving()) == 0
 }
 
-// endOwning gives up the upstreams that this VM went on with: what still waits
-// is answered as not run. When it is alone nobody takes them over and it keeps
-// them to the end.
-func (d *Daemon) endOwning() {
-	if d.alone() || d.stops.owned.Swap(nil) == nil {
+// releaseOwned releases the upstreams that a leaving VM has kept. Requests still queued
+// for them are answered as not run. If no other VM serves, there is no new owner and
+// this VM keeps the upstreams until it ends.
+func (d *Daemon) releaseOwned() {
+	if d.noOtherServes() || d.stops.owned.Swap(nil) == nil {
 		return
 	}
 	d.owner.Apply(d.snapshot.Load())
 }
 
-// stopOwner lets the owner finish what it runs, until ctx ends.
+// stopOwner waits until the owner has finished its running sub-requests or ctx ends.
 func (d *Daemon) stopOwner(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
@@ -136,9 +139,9 @@
 	}
 }
 
-// tableFor is who owns what by a view. A VM that leaves as the last one keeps
-// what it had: with no owner its requests in flight would fail.
-func (d *Daemon) tableFor(view *membership.View, assign func([]membership.Member) *ownership.Table) *ownership.Table {
+// ownershipTable returns the ownership table for a view. If the last serving VM leaves, it
+// keeps its previous table: without an owner its requests in flight would fail.
+func (d *Daemon) ownershipTable(view *membership.View, assign func([]membership.Member) *ownership.Table) *ownership.Table {
 	serving := view.Serving()
 	if owned := d.stops.owned.Load(); len(serving) == 0 && owned != nil {
 		return owned
@@ -146,8 +149,8 @@
 	return assign(serving)
 }
 
-// granting is the table that this VM's own grants follow.
-func (d *Daemon) granting() *ownership.Table {
+// grantTable returns the ownership table that determines this VM's grants.
+func (d *Daemon) grantTable() *ownership.Table {
 	if owned := d.stops.owned.Load(); owned != nil {
 		return owned
 	}
