--- a/internal/daemon/backend.go
+++ b/internal/daemon/backend.go
@@ -66,7 +66,8 @@
 }
 
 // receiver handles the frames that peers send back on the streams that this VM
-// opened, and the frames that were lost with such a stream.
+// opened, and the frames that were lost with such a stream. It implements
+// peer.Receiver.
 type receiver Daemon
 
 func (r *receiver) Frame(_ string, f *pb.Frame) {
@@ -102,7 +103,8 @@
 	r.engine.Deliver(&pb.SubReply{Id: req.Id, Result: result})
 }
 
-// peerHandler handles the frames of peers that opened a stream to this VM.
+// peerHandler handles the frames of peers that opened a stream to this VM. It
+// implements peer.Handler.
 type peerHandler Daemon
 
 func (h *peerHandler) Frame(from *pb.Hello, f *pb.Frame, reply func(*pb.Frame)) {
--- a/internal/standalone/adapter.go
+++ b/internal/standalone/adapter.go
@@ -22,8 +22,8 @@
 // wire format and HTTP endpoints.
 func Adapter(set *node.Settings) node.Adapter {
 	return node.Adapter{
-		Store:     NewFile(set.Store),
-		Decoder:   Documents{},
+		Store:     NewFileStore(set.Store),
+		Decoder:   ItemDecoder{},
 		Upstreams: wire.Upstreams{Names: wire.Own()},
 		Callers: func(e *edge.Engine, leaving func() bool) node.CallerHandler {
 			return wire.NewIngress(e, wire.Own(), leaving)
--- a/internal/standalone/deployment.go
+++ b/internal/standalone/deployment.go
@@ -79,15 +79,15 @@
 	}
 }
 
-// File is a node.Store backed by a deployment file. The version in the file is the
+// FileStore is a node.Store backed by a deployment file. The version in the file is the
 // store's revision, so VMs with the same file agree on it.
-type File struct{ path string }
+type FileStore struct{ path string }
 
-// NewFile returns a store that reads the file at path on every call.
-func NewFile(path string) *File { return &File{path: path} }
+// NewFileStore returns a store that reads the file at path on every call.
+func NewFileStore(path string) *FileStore { return &FileStore{path: path} }
 
 // List implements node.Store.
-func (f *File) List(bool) (catalog.Position, []catalog.Item, error) {
+func (f *FileStore) List(bool) (catalog.Position, []catalog.Item, error) {
 	d, err := f.read()
 	if err != nil {
 		return catalog.Position{}, nil, err
@@ -98,7 +98,7 @@
 
 // Watch implements node.Store. A file keeps no history, so Watch reports a newer
 // version as node.ErrCompacted and the caller has to list again.
-func (f *File) Watch(after uint64, wait time.Duration) (catalog.Position, []catalog.Item, error) {
+func (f *FileStore) Watch(after uint64, wait time.Duration) (catalog.Position, []catalog.Item, error) {
 	for end := time.Now().Add(wait); ; time.Sleep(filePollInterval) {
 		d, err := f.read()
 		if err != nil {
@@ -113,7 +113,7 @@
 	}
 }
 
-func (f *File) read() (*pb.EdgeDeployment, error) {
+func (f *FileStore) read() (*pb.EdgeDeployment, error) {
 	data, err := os.ReadFile(f.path)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
@@ -140,11 +140,11 @@
 	return items, nil
 }
 
-// Documents is the catalog.Decoder for the items of a deployment file.
-type Documents struct{}
+// ItemDecoder is the catalog.Decoder for the items of a deployment file.
+type ItemDecoder struct{}
 
 // Kind implements catalog.Decoder.
-func (Documents) Kind(key string) catalog.Kind {
+func (ItemDecoder) Kind(key string) catalog.Kind {
 	switch {
 	case key == keyConfig:
 		return catalog.Configuration
@@ -157,10 +157,10 @@
 
 // Evacuated implements catalog.Decoder. A deployment file cannot request an
 // evacuation, so the result is always empty.
-func (Documents) Evacuated(string) string { return "" }
+func (ItemDecoder) Evacuated(string) string { return "" }
 
 // Config implements catalog.Decoder.
-func (Documents) Config(it catalog.Item) (*routing.Config, error) {
+func (ItemDecoder) Config(it catalog.Item) (*routing.Config, error) {
 	d := &pb.EdgeDeployment{}
 	if err := proto.Unmarshal(it.Value, d); err != nil {
 		return nil, trace.Wrap(err)
@@ -198,7 +198,7 @@
 }
 
 // Upstream implements catalog.Decoder.
-func (Documents) Upstream(it catalog.Item) (catalog.Upstream, error) {
+func (ItemDecoder) Upstream(it catalog.Item) (catalog.Upstream, error) {
 	u := &pb.EdgeUpstream{}
 	if err := proto.Unmarshal(it.Value, u); err != nil {
 		return catalog.Upstream{}, trace.Wrap(err)
