--- a/internal/standalone/deployment.go
+++ b/internal/standalone/deployment.go
@@ -17,16 +17,17 @@
 	"sycamorekeel.example/sycamorekeel/internal/tomlpb"
 )
 
-// Keys of the items that a deployment is split into.
+// Keys of the catalog items made from a deployment.
 const (
 	keyConfig      = "config"
 	prefixUpstream = "upstream/"
 )
 
-// filePoll is how often the deployment file is looked at.
-const filePoll = 200 * time.Millisecond
+// filePollInterval is the interval at which Watch reads the deployment file.
+const filePollInterval = 200 * time.Millisecond
 
-// ParseDeployment decodes and checks a deployment; every fault is reported.
+// ParseDeployment decodes and validates a deployment. It returns all findings, not
+// just the first one.
 func ParseDeployment(name string, data []byte) (*pb.EdgeDeployment, finding.List) {
 	d := &pb.EdgeDeployment{}
 	src := tomlpb.Decode(name, data, d)
@@ -78,27 +79,27 @@
 	}
 }
 
-// File reads a deployment file; it implements node.Store. The file's version is
-// the revision, so that VMs with the same file agree.
-type File struct{ path string }
+// FileStore is a node.Store backed by a deployment file. The version in the file is the
+// store's revision, so VMs with the same file agree on it.
+type FileStore struct{ path string }
 
-// NewFile reads the file at a path, at each call anew.
-func NewFile(path string) *File { return &File{path: path} }
+// NewFileStore returns a store that reads the file at path on every call.
+func NewFileStore(path string) *FileStore { return &FileStore{path: path} }
 
 // List implements node.Store.
-func (f *File) List(bool) (catalog.Position, []catalog.Item, error) {
+func (f *FileStore) List(bool) (catalog.Position, []catalog.Item, error) {
 	d, err := f.read()
 	if err != nil {
 		return catalog.Position{}, nil, err
 	}
-	items, err := split(d)
+	items, err := deploymentItems(d)
 	return catalog.Position{Revision: d.Version}, items, trace.Wrap(err)
 }
 
-// Watch implements node.Store: a file has no history, so a later version is to be
-// listed.
-func (f *File) Watch(after uint64, wait time.Duration) (catalog.Position, []catalog.Item, error) {
-	for end := time.Now().Add(wait); ; time.Sleep(filePoll) {
+// Watch implements node.Store. A file keeps no history, so Watch reports a newer
+// version as node.ErrCompacted and the caller has to list again.
+func (f *FileStore) Watch(after uint64, wait time.Duration) (catalog.Position, []catalog.Item, error) {
+	for end := time.Now().Add(wait); ; time.Sleep(filePollInterval) {
 		d, err := f.read()
 		if err != nil {
 			return catalog.Position{}, nil, err
@@ -112,7 +113,7 @@
 	}
 }
 
-func (f *File) read() (*pb.EdgeDeployment, error) {
+func (f *FileStore) read() (*pb.EdgeDeployment, error) {
 	data, err := os.ReadFile(f.path)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
@@ -121,8 +122,9 @@
 	return d, trace.Wrap(findings.Err())
 }
 
-// split makes one item of the routes and services and one of each upstream.
-func split(d *pb.EdgeDeployment) ([]catalog.Item, error) {
+// deploymentItems converts a deployment to catalog items: one for the routes and services
+// together and one per upstream.
+func deploymentItems(d *pb.EdgeDeployment) ([]catalog.Item, error) {
 	config, err := proto.Marshal(&pb.EdgeDeployment{Version: d.Version, Routes: d.Routes, Services: d.Services})
 	if err != nil {
 		return nil, err
@@ -138,11 +140,11 @@
 	return items, nil
 }
 
-// Documents decodes the items; it implements catalog.Decoder.
-type Documents struct{}
+// ItemDecoder is the catalog.Decoder for the items of a deployment file.
+type ItemDecoder struct{}
 
 // Kind implements catalog.Decoder.
-func (Documents) Kind(key string) catalog.Kind {
+func (ItemDecoder) Kind(key string) catalog.Kind {
 	switch {
 	case key == keyConfig:
 		return catalog.Configuration
@@ -153,11 +155,12 @@
 	}
 }
 
-// Evacuated implements catalog.Decoder: a deployment file evacuates nothing.
-func (Documents) Evacuated(string) string { return "" }
+// Evacuated implements catalog.Decoder. A deployment file cannot request an
+// evacuation, so the result is always empty.
+func (ItemDecoder) Evacuated(string) string { return "" }
 
 // Config implements catalog.Decoder.
-func (Documents) Config(it catalog.Item) (*routing.Config, error) {
+func (ItemDecoder) Config(it catalog.Item) (*routing.Config, error) {
 	d := &pb.EdgeDeployment{}
 	if err := proto.Unmarshal(it.Value, d); err != nil {
 		return nil, trace.Wrap(err)
@@ -195,7 +198,7 @@
 }
 
 // Upstream implements catalog.Decoder.
-func (Documents) Upstream(it catalog.Item) (catalog.Upstream, error) {
+func (ItemDecoder) Upstream(it catalog.Item) (catalog.Upstream, error) {
 	u := &pb.EdgeUpstream{}
 	if err := proto.Unmarshal(it.Value, u); err != nil {
 		return catalog.Upstream{}, trace.Wrap(err)
