--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,7 +1,8 @@
-// Package frontend walks one authenticated request through admission, planning,
-// the query and the merge, and gives the caller's answer or a typed refusal.
+// Package frontend executes authenticated requests: it admits a request, plans
+// and runs its query, merges the shards' replies and returns an answer or a
+// typed refusal.
 //
-// Lock order: Frontend.mu is a leaf; it is not held across a query.
+// Lock order: Frontend.mu is a leaf lock and is not held while a query runs.
 package frontend
 
 import (
@@ -24,30 +25,32 @@
 )
 
 const (
-	// replyMargin of a deadline is kept for the merge and the way back.
-	replyMargin = 0.02
-	// confirmShare of a non-idempotent request's deadline, at most maxConfirm, is
-	// kept to learn from the owners what they never sent: a round trip between
-	// regions takes 24 ms.
-	confirmShare = 0.05
-	maxConfirm   = 50 * time.Millisecond
+	// replyMarginFraction is the fraction of a deadline reserved for merging and
+	// for returning the reply to the caller.
+	replyMarginFraction = 0.02
+	// confirmFraction is the fraction of a non-idempotent request's deadline, at
+	// most maxConfirmTime, reserved for asking the owners which sub-requests they
+	// never sent. A round trip between regions takes 24 ms.
+	confirmFraction = 0.05
+	maxConfirmTime  = 50 * time.Millisecond
 )
 
 // Request is one caller's request.
 type Request struct {
-	// Body is the caller's JSON and is passed on to the shards as it came.
+	// Body is the caller's JSON, forwarded to the shards unchanged.
 	Body []byte
-	// Deadline, when set, is shorter than the contract's.
+	// Deadline is the caller's time limit; 0 means that of the contract. The
+	// shorter of the two applies.
 	Deadline time.Duration
-	// Operation is the key of a non-idempotent request; empty when the caller
-	// gave none.
+	// Operation is the idempotency key of a non-idempotent request, empty if the
+	// caller sent none.
 	Operation string
 }
 
-// Answer is a caller's whole answer.
+// Answer is the JSON body of a successful reply.
 type Answer struct {
 	RequestID string `json:"request_id"`
-	// Operation is the key a non-idempotent request ran under.
+	// Operation is the idempotency key of a non-idempotent request.
 	Operation string      `json:"operation,omitempty"`
 	Snapshot  Snapshot    `json:"snapshot"`
 	Coverage  Coverage    `json:"coverage"`
@@ -55,50 +58,51 @@
 	ElapsedMS float64     `json:"elapsed_ms"`
 }
 
-// Snapshot is the one state of the index the answer reflects.
+// Snapshot identifies the index snapshot that all shards answered from.
 type Snapshot struct {
 	Generation uint32 `json:"generation"`
 	Version    uint64 `json:"version"`
 }
 
-// Coverage is how much of the data the answer covers.
+// Coverage describes how much of the data the answer covers.
 type Coverage struct {
-	// Fraction of the documents, 0 to 1.
+	// Fraction is the covered fraction of the documents, from 0 to 1.
 	Fraction       float64        `json:"fraction"`
 	ShardsAnswered int            `json:"shards_answered"`
 	ShardsTotal    int            `json:"shards_total"`
 	Missing        []MissingShard `json:"missing,omitempty"`
 }
 
-// MissingShard is a shard the answer does not cover, and why.
+// MissingShard names a shard that the answer does not cover and the reason.
 type MissingShard struct {
 	Shard  uint32 `json:"shard"`
 	Reason string `json:"reason"`
 }
 
-// Failure is a refusal with what is known of the request.
+// Failure is a refusal together with the request's identifiers and coverage.
 type Failure struct {
 	*refusal.Error
 	RequestID string
-	// Operation is the key of a non-idempotent request.
+	// Operation is the idempotency key of a non-idempotent request.
 	Operation string
-	Coverage  *Coverage
+	// Coverage is set only if the query ended without enough coverage.
+	Coverage *Coverage
 }
 
 // Admission decides whether a request may start.
 type Admission interface {
-	// Admit starts a request that has the given time, or says why it may not
-	// start. Done ends it; took counts when the request was answered.
+	// Admit admits a request whose time budget is budget, or returns the refusal.
+	// Done ends an admitted request; took is only used if answered is true.
 	Admit(k *contract.Kind, budget time.Duration) *refusal.Error
 	Done(k *contract.Kind, took time.Duration, answered bool)
 }
 
-// Pinner chooses the snapshot a query is pinned to.
+// Pinner selects the snapshot that every sub-request of a query reads.
 type Pinner interface {
 	Pin(now time.Time, s *contract.Service) (*contract.ShardMap, *pb.Snapshot, bool)
 }
 
-// Options is what a frontend needs.
+// Options configures a Frontend.
 type Options struct {
 	Log       *zap.Logger
 	Registry  prometheus.Registerer
@@ -106,14 +110,15 @@
 	Admission Admission
 	Pinner    Pinner
 	Explain   *explain.Ring
-	// Poison keeps requests that crash upstreams from them.
+	// Poison blocks requests that crash upstreams.
 	Poison *poison.Guard
 	Now    func() time.Time
-	// Unbounded scatters every admitted query at once: the baseline.
+	// Unbounded disables the per-service concurrency limit; baseline runs use it.
 	Unbounded bool
 }
 
-// Frontend answers requests.
+// Frontend executes queries for authenticated customers. It is safe for
+// concurrent use.
 type Frontend struct {
 	opts Options
 	log  *zap.Logger
@@ -122,16 +127,17 @@
 	mu       sync.Mutex
 	stopping bool
 	running  sync.WaitGroup
-	// scatters bounds the queries of each service that run at a time.
-	scatters map[string]*congestion.Limiter
+	// limiters limits the concurrent queries of each service, by service name.
+	limiters map[string]*congestion.Limiter
 }
 
-// New makes a frontend.
+// New returns a Frontend that accepts requests.
 func New(opts Options) *Frontend {
-	return &Frontend{opts: opts, log: opts.Log, met: newMetrics(opts.Registry), scatters: map[string]*congestion.Limiter{}}
+	return &Frontend{opts: opts, log: opts.Log, met: newMetrics(opts.Registry), limiters: map[string]*congestion.Limiter{}}
 }
 
-// Stop refuses new requests and waits for those in flight or for ctx.
+// Stop refuses new requests and returns when those in flight have ended or ctx
+// is done.
 func (f *Frontend) Stop(ctx context.Context) {
 	f.mu.Lock()
 	f.stopping = true
@@ -147,22 +153,23 @@
 	}
 }
 
-// Query answers one request of an authenticated customer.
+// Query executes one request of an authenticated customer. Exactly one of the
+// results is non-nil.
 func (f *Frontend) Query(ctx context.Context, k *contract.Kind, req *Request) (*Answer, *Failure) {
 	started := f.opts.Now()
-	w := &walk{front: f, kind: k, req: req, started: started, id: newRequestID()}
-	answer, failure := w.run(ctx)
-	w.record(answer, failure)
+	x := &execution{front: f, kind: k, req: req, started: started, id: newRequestID()}
+	answer, failure := x.run(ctx)
+	x.record(answer, failure)
 	return answer, failure
 }
 
-// Refuse counts a refusal that was made before a kind was known.
+// Refuse counts a refusal made outside Query.
 func (f *Frontend) Refuse(e *refusal.Error) {
-	f.met.refused(e)
+	f.met.countRefusal(e)
 }
 
-// admit starts a request that has the given time. It counts as running before
-// it is admitted, so that a stop waits for it.
+// admit admits a request whose time budget is budget. The request counts as
+// running before admission decides, so that Stop waits for it.
 func (f *Frontend) admit(k *contract.Kind, budget time.Duration) *refusal.Error {
 	f.mu.Lock()
 	if f.stopping {
@@ -183,8 +190,8 @@
 	f.running.Done()
 }
 
-// walk is one request on its way.
-type walk struct {
+// execution is the state of one request.
+type execution struct {
 	front   *Frontend
 	kind    *contract.Kind
 	req     *Request
@@ -193,123 +200,128 @@
 	outcome *query.Outcome
 }
 
-func (w *walk) run(ctx context.Context) (answer *Answer, failure *Failure) {
-	if w.kind.Service == nil {
-		return nil, w.fail(refusal.New(refusal.UnknownService, "service "+w.kind.Kind.Service+" is not defined").After(time.Minute))
+func (x *execution) run(ctx context.Context) (answer *Answer, failure *Failure) {
+	if x.kind.Service == nil {
+		return nil, x.fail(refusal.New(refusal.UnknownService, "service "+x.kind.Kind.Service+" is not defined").After(time.Minute))
 	}
-	params, err := readParameters(w.req.Body)
+	params, err := readParameters(x.req.Body)
 	if err != nil {
-		return nil, w.fail(err)
+		return nil, x.fail(err)
 	}
-	if err := w.front.admit(w.kind, budget(w.kind, w.req)); err != nil {
-		return nil, w.fail(err)
+	if err := x.front.admit(x.kind, budget(x.kind, x.req)); err != nil {
+		return nil, x.fail(err)
 	}
 	defer func() {
-		w.front.done(w.kind, w.front.opts.Now().Sub(w.started), answer != nil)
+		x.front.done(x.kind, x.front.opts.Now().Sub(x.started), answer != nil)
 	}()
-	witness, err := w.witness()
+	witness, err := x.witness()
 	if err != nil {
-		return nil, w.fail(err)
+		return nil, x.fail(err)
 	}
 	defer witness.close()
-	plan, err := w.plan(params)
+	plan, err := x.plan(params)
 	if err != nil {
-		return nil, w.fail(err)
+		return nil, x.fail(err)
 	}
 	plan.Witness, plan.Trial = witness, witness.trial
-	if err := w.front.startScatter(w.kind); err != nil {
-		return nil, w.fail(err)
+	if err := x.front.startScatter(x.kind); err != nil {
+		return nil, x.fail(err)
 	}
-	outcome, runErr := w.front.opts.Engine.Run(ctx, plan)
-	w.front.endScatter(w.kind, w.started, outcome)
+	outcome, runErr := x.front.opts.Engine.Run(ctx, plan)
+	x.front.endScatter(x.kind, x.started, outcome)
 	if runErr != nil {
-		return nil, w.fail(w.abandoned())
+		return nil, x.fail(x.abandonedError())
 	}
-	w.outcome = outcome
-	return w.finish(params)
+	x.outcome = outcome
+	return x.finish(params)
 }
 
-// plan pins a snapshot and chooses the shards.
-func (w *walk) plan(p parameters) (*query.Plan, *refusal.Error) {
-	shards, snapshot, ok := w.front.opts.Pinner.Pin(w.started, w.kind.Service)
+// plan pins a snapshot and selects the shards.
+func (x *execution) plan(p parameters) (*query.Plan, *refusal.Error) {
+	shards, snapshot, ok := x.front.opts.Pinner.Pin(x.started, x.kind.Service)
 	if !ok {
 		return nil, refusal.New(refusal.NoSnapshot, "no snapshot of the service is ready").After(time.Second)
 	}
-	if w.kind.Merge == pb.Merge_SINGLE && p.Key == "" {
+	if x.kind.Merge == pb.Merge_SINGLE && p.Key == "" {
 		return nil, refusal.New(refusal.BadRequest, "body: key must name the document")
 	}
 	plan := &query.Plan{
-		Kind:      w.kind,
-		RequestID: w.id,
-		Body:      w.req.Body,
+		Kind:      x.kind,
+		RequestID: x.id,
+		Body:      x.req.Body,
 		Key:       p.Key,
 		Map:       shards,
 		Snapshot:  snapshot,
-		Deadline:  w.started.Add(timeLeft(w.kind, w.req)),
+		Deadline:  x.started.Add(timeLeft(x.kind, x.req)),
 	}
-	if !w.kind.Idempotent {
+	if !x.kind.Idempotent {
 		plan.ConfirmBy = plan.Deadline
-		plan.Deadline = plan.Deadline.Add(-confirmTime(w.kind, w.req))
+		plan.Deadline = plan.Deadline.Add(-confirmTime(x.kind, x.req))
 	}
-	if soft := w.kind.SoftDeadline(); soft > 0 {
-		plan.SoftDeadline = w.started.Add(soft)
+	if soft := x.kind.SoftDeadline(); soft > 0 {
+		plan.SoftDeadline = x.started.Add(soft)
 	}
 	return plan, nil
 }
 
+// confirmTime returns the part of the deadline reserved for asking the owners
+// about unsent sub-requests.
 func confirmTime(k *contract.Kind, req *Request) time.Duration {
-	return min(maxConfirm, time.Duration(confirmShare*float64(timeLeft(k, req))))
+	return min(maxConfirmTime, time.Duration(confirmFraction*float64(timeLeft(k, req))))
 }
 
-func (w *walk) finish(p parameters) (*Answer, *Failure) {
-	cov := coverage(w.outcome)
-	if cov.ShardsAnswered == 0 || cov.Fraction < w.kind.CoverageFloor {
-		return nil, w.tooLittle(cov)
+// finish merges the shards' hits, or refuses if the coverage is too low.
+func (x *execution) finish(p parameters) (*Answer, *Failure) {
+	cov := coverage(x.outcome)
+	if cov.ShardsAnswered == 0 || cov.Fraction < x.kind.CoverageFloor {
+		return nil, x.refuseLowCoverage(cov)
 	}
-	hits := query.MergeHits(w.kind.Merge, w.outcome.Shards, limit(p.Limit, int(w.kind.MaxHits)))
+	hits := query.MergeHits(x.kind.Merge, x.outcome.Shards, limit(p.Limit, int(x.kind.MaxHits)))
 	return &Answer{
-		RequestID: w.id,
-		Operation: w.operation(),
-		Snapshot:  Snapshot{Generation: w.outcome.Snapshot.Generation, Version: w.outcome.Snapshot.Version},
+		RequestID: x.id,
+		Operation: x.operation(),
+		Snapshot:  Snapshot{Generation: x.outcome.Snapshot.Generation, Version: x.outcome.Snapshot.Version},
 		Coverage:  cov,
 		Hits:      hits,
-		ElapsedMS: milliseconds(w.front.opts.Now().Sub(w.started)),
+		ElapsedMS: milliseconds(x.front.opts.Now().Sub(x.started)),
 	}, nil
 }
 
-// tooLittle refuses an answer below the coverage floor and says what ran.
-func (w *walk) tooLittle(cov Coverage) *Failure {
-	e := &refusal.Error{Reason: refusal.CoverageTooLow, Ran: ran(w.outcome), Detail: "the answer covers less than the contract's floor"}
+// refuseLowCoverage refuses an answer below the coverage floor and reports
+// whether the request ran.
+func (x *execution) refuseLowCoverage(cov Coverage) *Failure {
+	e := &refusal.Error{Reason: refusal.CoverageTooLow, Ran: ranState(x.outcome), Detail: "the answer covers less than the contract's floor"}
 	switch {
-	case e.Ran == refusal.Unknown && !w.kind.Idempotent:
+	case e.Ran == refusal.Unknown && !x.kind.Idempotent:
 		e.Reason = refusal.OutcomeUnknown
 		e.Detail = "the request was sent and no answer came"
-	case cov.ShardsAnswered == 0 && w.outcome.TimedOut:
+	case cov.ShardsAnswered == 0 && x.outcome.TimedOut:
 		e.Reason = refusal.DeadlineExceeded
 		e.Detail = "no shard answered in time"
 	case cov.ShardsAnswered == 0:
 		e.Reason = refusal.UpstreamFailed
 		e.Detail = "no shard answered"
 	}
-	if e.Ran == refusal.NotRun || w.kind.Idempotent {
-		e.RetryAfter = w.kind.Deadline()
+	if e.Ran == refusal.NotRun || x.kind.Idempotent {
+		e.RetryAfter = x.kind.Deadline()
 	}
-	failure := w.fail(e)
+	failure := x.fail(e)
 	failure.Coverage = &cov
 	return failure
 }
 
-// abandoned refuses a request that ended without an outcome: its sub-requests
-// may be anywhere.
-func (w *walk) abandoned() *refusal.Error {
+// abandonedError is the refusal of a request that ended without an outcome. Its
+// sub-requests may be queued, running or finished.
+func (x *execution) abandonedError() *refusal.Error {
 	e := &refusal.Error{Reason: refusal.DeadlineExceeded, Ran: refusal.Unknown, Detail: "the request was abandoned"}
-	if !w.kind.Idempotent {
+	if !x.kind.Idempotent {
 		e.Reason = refusal.OutcomeUnknown
 	}
 	return e
 }
 
-func ran(o *query.Outcome) refusal.Ran {
+// ranState reports whether any part of the request ran.
+func ranState(o *query.Outcome) refusal.Ran {
 	switch {
 	case o.Unsure:
 		return refusal.Unknown
@@ -320,26 +332,27 @@
 	}
 }
 
-func (w *walk) fail(e *refusal.Error) *Failure {
-	return &Failure{Error: e, RequestID: w.id, Operation: w.operation()}
+func (x *execution) fail(e *refusal.Error) *Failure {
+	return &Failure{Error: e, RequestID: x.id, Operation: x.operation()}
 }
 
-// operation is the key the request runs under; idempotent kinds need none and
-// ignore one.
-func (w *walk) operation() string {
-	if w.kind.Idempotent {
+// operation returns the request's idempotency key, or "" for idempotent kinds,
+// which ignore keys.
+func (x *execution) operation() string {
+	if x.kind.Idempotent {
 		return ""
 	}
-	return w.req.Operation
+	return x.req.Operation
 }
 
-func (w *walk) record(a *Answer, failure *Failure) {
-	elapsed := w.front.opts.Now().Sub(w.started)
+// record adds the request to the metrics and to the explain ring.
+func (x *execution) record(a *Answer, failure *Failure) {
+	elapsed := x.front.opts.Now().Sub(x.started)
 	rec := &explain.Record{
-		RequestID: w.id,
-		Customer:  w.kind.Customer,
-		Kind:      w.kind.Name,
-		Started:   w.started,
+		RequestID: x.id,
+		Customer:  x.kind.Customer,
+		Kind:      x.kind.Name,
+		Started:   x.started,
 		ElapsedMS: milliseconds(elapsed),
 		Outcome:   "answered",
 	}
@@ -347,19 +360,19 @@
 		rec.Outcome = string(failure.Reason)
 		rec.Ran = string(failure.Ran)
 		rec.Detail = failure.Detail
-		w.front.met.refused(failure.Error)
+		x.front.met.countRefusal(failure.Error)
 	}
-	if w.outcome != nil {
-		rec.Coverage = w.outcome.Coverage()
-		rec.Snapshot = explain.Snapshot(w.outcome.Snapshot)
-		rec.Restarts = w.outcome.Restarts
-		rec.Shards = explain.Shards(w.outcome)
-		w.front.met.lost(w.outcome)
+	if x.outcome != nil {
+		rec.Coverage = x.outcome.Coverage()
+		rec.Snapshot = explain.Snapshot(x.outcome.Snapshot)
+		rec.Restarts = x.outcome.Restarts
+		rec.Shards = explain.Shards(x.outcome)
+		x.front.met.countMissing(x.outcome)
 	}
 	if a != nil {
-		w.front.met.answered(w.kind, elapsed, a.Coverage.Fraction)
+		x.front.met.countAnswer(x.kind, elapsed, a.Coverage.Fraction)
 	}
-	w.front.opts.Explain.Add(rec)
+	x.front.opts.Explain.Add(rec)
 }
 
 func coverage(o *query.Outcome) Coverage {
@@ -374,7 +387,7 @@
 	return c
 }
 
-// limit is the smaller of two limits, 0 meaning none.
+// limit returns the smaller of two limits; 0 means unlimited.
 func limit(a, b int) int {
 	if a == 0 || (b > 0 && b < a) {
 		return b
@@ -386,6 +399,7 @@
 	return float64(d.Microseconds()) / 1000
 }
 
+// newRequestID returns 8 random bytes in hex.
 func newRequestID() string {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
--- a/internal/frontend/metrics.go
+++ b/internal/frontend/metrics.go
@@ -47,17 +47,17 @@
 	}
 }
 
-func (m *metrics) refused(e *refusal.Error) {
+func (m *metrics) countRefusal(e *refusal.Error) {
 	m.refusals.WithLabelValues(string(e.Reason), string(e.Ran)).Inc()
 }
 
-func (m *metrics) answered(k *contract.Kind, d time.Duration, coverage float64) {
+func (m *metrics) countAnswer(k *contract.Kind, d time.Duration, coverage float64) {
 	m.answers.WithLabelValues(k.Customer, k.Name).Inc()
 	m.seconds.WithLabelValues(k.Customer, k.Name).Observe(d.Seconds())
 	m.coverage.WithLabelValues(k.Customer, k.Name).Observe(coverage)
 }
 
-func (m *metrics) lost(o *query.Outcome) {
+func (m *metrics) countMissing(o *query.Outcome) {
 	for _, s := range o.Shards {
 		if s.Missing != "" {
 			m.missing.WithLabelValues(string(s.Missing)).Inc()
--- a/internal/frontend/operations.go
+++ b/internal/frontend/operations.go
@@ -14,87 +14,88 @@
 	"sycamorekeel.example/sycamorekeel/internal/refusal"
 )
 
-// Bounds of what is remembered of operations.
+// Limits on the stored outcomes of operations.
 const (
-	// LeaseLife is how long a lease takes new operations, LeaseGrace how much
-	// longer their outcomes are kept.
+	// LeaseLife is how long a lease accepts new operations. Their outcomes are
+	// kept for LeaseGrace after that.
 	LeaseLife  = 2 * time.Minute
 	LeaseGrace = 2 * time.Minute
-	// leastRoom is how many operations of a customer are remembered at least.
-	leastRoom = 256
-	// maxRefused is how many refused operations of a customer are remembered
-	// one by one.
+	// minOperations is the part of a customer's operation limit that does not
+	// depend on its rate.
+	minOperations = 256
+	// maxRefused is the maximum number of refused operations of a customer that
+	// are stored individually.
 	maxRefused = 1024
-	// maxKeptBytes bounds the answers kept for one customer. A longer history is
-	// kept without its answers.
-	maxKeptBytes = 8 << 20
-	// askAgain is when a caller may ask again for an outcome it could not get.
-	askAgain = time.Second
+	// maxStoredBytes limits the replies stored for one customer. Beyond it, an
+	// operation that ran is stored without its answer.
+	maxStoredBytes = 8 << 20
+	// retryDelay is the retry delay sent to a caller whose outcome is not available.
+	retryDelay = time.Second
 )
 
-// Fate is what became of a request that was forwarded.
+// Fate is the outcome of a forwarded request.
 type Fate string
 
-// Fates of a forward.
+// Outcomes of a forwarded request.
 const (
-	// FateAnswered: the named VM replied.
+	// FateAnswered means that the target VM replied.
 	FateAnswered Fate = "answered"
-	// FateNotSent: no byte of it left this VM.
+	// FateNotSent means that no byte of the request left this VM.
 	FateNotSent Fate = "not_sent"
-	// FateGone: the named incarnation no longer lives, as seen from here.
+	// FateGone means that this VM considers the target incarnation ended.
 	FateGone Fate = "gone"
-	// FateLost: it was sent and no reply came.
+	// FateLost means that the request was sent and no reply arrived.
 	FateLost Fate = "lost"
 )
 
-// Forwarder carries a request to the VM its key names, once.
+// Forwarder sends a request to the VM named by its key, without retries.
 type Forwarder interface {
-	// Forward returns a reply only with FateAnswered.
+	// Forward returns a non-nil reply only with FateAnswered.
 	Forward(ctx context.Context, k *contract.Kind, req *Request, key *once.Key) (*Reply, Fate)
 }
 
-// OperationsOptions is what the operations of a VM need.
+// OperationsOptions configures Operations.
 type OperationsOptions struct {
 	Registry    prometheus.Registerer
 	Frontend    *Frontend
 	Forwarder   Forwarder
 	VM          string
 	Incarnation uint64
-	// Secret is random and of this incarnation only.
+	// Secret is random and unique to this incarnation; it authenticates keys.
 	Secret []byte
-	// Life and Grace are LeaseLife and LeaseGrace but in tests.
+	// Life and Grace are LeaseLife and LeaseGrace, except in tests.
 	Life, Grace time.Duration
-	// Now must have a monotonic reading.
+	// Now must return times with a monotonic clock reading.
 	Now func() time.Time
 }
 
-// Operations runs requests, the non-idempotent ones at most once.
+// Operations executes requests, the non-idempotent ones at most once.
 //
-// Lock order: Operations.mu is a leaf; it is not held while a request runs.
+// Lock order: Operations.mu is a leaf lock and is not held while a request runs.
 type Operations struct {
-	opts      OperationsOptions
-	started   time.Time
-	operation *prometheus.CounterVec
-	forwards  *prometheus.CounterVec
+	opts     OperationsOptions
+	started  time.Time
+	verdicts *prometheus.CounterVec
+	forwards *prometheus.CounterVec
 
 	mu      sync.Mutex
 	table   *once.Table[*Reply]
 	running map[string]*pending
 }
 
-// pending is an operation under way; reply is set before done is closed.
+// pending is a running operation; reply is set before done is closed.
 type pending struct {
 	done  chan struct{}
 	reply *Reply
 }
 
-// NewOperations makes the operations of one incarnation.
+// NewOperations returns the operations of one incarnation.
 func NewOperations(opts OperationsOptions) *Operations {
 	f := promauto.With(opts.Registry)
 	return &Operations{
 		opts:    opts,
 		started: opts.Now(),
-		operation: f.NewCounterVec(prometheus.CounterOpts{
+		verdicts: f.NewCounterVec(prometheus.CounterOpts{
 			Name: "sycamorekeel_once_operations_total",
 			Help: "Non-idempotent requests, by what the table of operations said.",
 		}, []string{"verdict"}),
@@ -114,20 +115,22 @@
 	}
 }
 
+// now returns the time since o was created.
 func (o *Operations) now() time.Duration {
 	return o.opts.Now().Sub(o.started)
 }
 
-// Lease gives a customer a prefix for keys and how long to use it: half of the
-// lease, so that a request sent at the end of that is still taken after a slow
-// way here.
+// Lease issues a key prefix to a customer and returns how long to use it. That is
+// half of the lease, so that a request sent near its end is still accepted when
+// the network is slow.
 func (o *Operations) Lease(customer string) (prefix string, use time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.table.Issue(o.now(), customer).Prefix(), o.opts.Life / 2
 }
 
-// Serve answers one request of an authenticated customer.
+// Serve executes one request of an authenticated customer, on this VM or on the
+// VM named by the request's key.
 func (o *Operations) Serve(ctx context.Context, k *contract.Kind, req *Request) *Reply {
 	if k.Idempotent {
 		return o.query(ctx, k, req).reply
@@ -136,13 +139,13 @@
 	if err != nil {
 		return o.refuse(req, refusal.New(refusal.ForeignOperation, err.Error()+"; ask endpoints for a lease"))
 	}
-	if !o.here(key) {
+	if !o.isLocal(key) {
 		return o.forward(ctx, k, req, key)
 	}
 	return o.Local(ctx, k, req, key)
 }
 
-// key reads the caller's key or makes one.
+// key parses the caller's key, or issues one and stores it in req.
 func (o *Operations) key(k *contract.Kind, req *Request) (*once.Key, error) {
 	if req.Operation != "" {
 		return once.ParseKey(req.Operation)
@@ -154,19 +157,20 @@
 	return key, nil
 }
 
-// here needs no lock: what the table compares never changes.
-func (o *Operations) here(key *once.Key) bool {
+// isLocal reports whether the key names this incarnation. It needs no lock: the
+// fields that the table compares are immutable.
+func (o *Operations) isLocal(key *once.Key) bool {
 	return o.table.Names(&key.Lease)
 }
 
-// Local answers a request whose key names this VM, whoever sent it. It never
-// forwards.
+// Local executes a request whose key names this VM, received from a caller or
+// from another VM. It never forwards.
 func (o *Operations) Local(ctx context.Context, k *contract.Kind, req *Request, key *once.Key) *Reply {
-	if !o.here(key) {
-		return o.refuse(req, gone())
+	if !o.isLocal(key) {
+		return o.refuse(req, errGone())
 	}
 	d, p := o.begin(k, req, key)
-	o.operation.WithLabelValues(d.Verdict.String()).Inc()
+	o.verdicts.WithLabelValues(d.Verdict.String()).Inc()
 	switch d.Verdict {
 	case once.New:
 		return o.run(ctx, k, req, key, p)
@@ -178,16 +182,18 @@
 		o.opts.Frontend.Refuse(errFull())
 		return d.Outcome
 	default:
-		return o.refuse(req, errOf(d.Verdict))
+		return o.refuse(req, verdictError(d.Verdict))
 	}
 }
 
+// begin enters the request in the table. The pending operation is non-nil for the
+// verdicts New and Running.
 func (o *Operations) begin(k *contract.Kind, req *Request, key *once.Key) (once.Decision[*Reply], *pending) {
 	digest := once.DigestOf(k.Name, req.Body)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.now()
-	d := o.table.Begin(now, k.Customer, key, digest, o.room(k))
+	d := o.table.Begin(now, k.Customer, key, digest, o.maxOperations(k))
 	switch d.Verdict {
 	case once.New:
 		p := &pending{done: make(chan struct{})}
@@ -202,21 +208,23 @@
 	return d, nil
 }
 
-// room is how many operations the kind's rate can leave behind in the time that
-// one is kept, which is a lease's life longer than promised at worst.
-func (o *Operations) room(k *contract.Kind) int {
+// maxOperations returns how many operations the kind's rate can add while one
+// outcome is stored: at worst one lease life longer than promised.
+func (o *Operations) maxOperations(k *contract.Kind) int {
 	kept := 2*o.opts.Life + o.opts.Grace
-	return leastRoom + int(math.Ceil(k.RatePerSecond*kept.Seconds()))
+	return minOperations + int(math.Ceil(k.RatePerSecond*kept.Seconds()))
 }
 
+// run executes the first copy of an operation, stores its outcome and wakes the
+// waiting copies.
 func (o *Operations) run(ctx context.Context, k *contract.Kind, req *Request, key *once.Key, p *pending) *Reply {
 	end := o.query(ctx, k, req)
 	o.mu.Lock()
 	keep := end.reply
-	if end.ran && o.table.Bytes(k.Customer)+keep.Size() > maxKeptBytes {
+	if end.ran && o.table.Bytes(k.Customer)+keep.Size() > maxStoredBytes {
 		keep = Refused(&Failure{RequestID: keep.RequestID, Operation: req.Operation, Error: &refusal.Error{
 			Reason: refusal.AnswerNotKept,
-			Ran:    end.claim,
+			Ran:    end.reportedRan,
 			Detail: "the request ended before, its answer is no longer held",
 		}})
 	}
@@ -228,24 +236,24 @@
 	return end.reply
 }
 
-// ending is how a query ended.
-type ending struct {
+// queryResult is the result of a query.
+type queryResult struct {
 	reply *Reply
-	// claim is what the reply says of the request; ran is false only when it is
-	// proved that no part of it ran.
-	claim refusal.Ran
-	ran   bool
+	// reportedRan is the ran value in the reply. The field ran is false only if it
+	// is proved that no part of the request ran.
+	reportedRan refusal.Ran
+	ran         bool
 }
 
-func (o *Operations) query(ctx context.Context, k *contract.Kind, req *Request) ending {
+func (o *Operations) query(ctx context.Context, k *contract.Kind, req *Request) queryResult {
 	answer, failure := o.opts.Frontend.Query(ctx, k, req)
 	if failure != nil {
-		return ending{reply: Refused(failure), claim: failure.Ran, ran: failure.Ran != refusal.NotRun}
+		return queryResult{reply: Refused(failure), reportedRan: failure.Ran, ran: failure.Ran != refusal.NotRun}
 	}
-	return ending{reply: Answered(answer), claim: refusal.DidRun, ran: true}
+	return queryResult{reply: Answered(answer), reportedRan: refusal.DidRun, ran: true}
 }
 
-// await gives a later copy of a request the outcome of the first.
+// await returns the outcome of the first copy of a request to a later copy.
 func (o *Operations) await(ctx context.Context, k *contract.Kind, req *Request, p *pending) *Reply {
 	timer := time.NewTimer(timeLeft(k, req))
 	defer timer.Stop()
@@ -256,12 +264,12 @@
 	case <-ctx.Done():
 	}
 	e := &refusal.Error{Reason: refusal.OperationRunning, Ran: refusal.Unknown, Detail: "the first copy of the request is under way; send the same key again"}
-	return o.refuse(req, e.After(askAgain))
+	return o.refuse(req, e.After(retryDelay))
 }
 
-// forward hands the request to the VM its key names. Nothing is run here,
-// whatever becomes of it. None of the refusals says "not run": this VM cannot
-// know whether an earlier copy has reached the named VM.
+// forward sends the request to the VM named by its key. It never runs the request
+// on this VM. No refusal says "not run", because this VM cannot know whether an
+// earlier copy reached the target.
 func (o *Operations) forward(ctx context.Context, k *contract.Kind, req *Request, key *once.Key) *Reply {
 	ctx, cancel := context.WithTimeout(ctx, timeLeft(k, req))
 	defer cancel()
@@ -272,12 +280,12 @@
 		return reply
 	case FateNotSent:
 		e := &refusal.Error{Reason: refusal.OperationAway, Ran: refusal.Unknown, Detail: "the VM that the key names cannot be reached from here; this copy was not run, send the same key again"}
-		return o.refuse(req, e.After(askAgain))
+		return o.refuse(req, e.After(retryDelay))
 	case FateGone:
-		return o.refuse(req, gone())
+		return o.refuse(req, errGone())
 	default:
 		e := &refusal.Error{Reason: refusal.OutcomeUnknown, Ran: refusal.Unknown, Detail: "the VM that the key names took the request and did not answer; send the same key to learn the outcome"}
-		return o.refuse(req, e.After(askAgain))
+		return o.refuse(req, e.After(retryDelay))
 	}
 }
 
@@ -286,16 +294,19 @@
 	return Refused(&Failure{Error: e, Operation: req.Operation})
 }
 
-// gone refuses what only an ended process could tell: it is never run again.
-func gone() *refusal.Error {
+// errGone refuses a request whose outcome only an ended process knew. The request
+// is never run again.
+func errGone() *refusal.Error {
 	return &refusal.Error{Reason: refusal.OutcomeUnknown, Ran: refusal.Unknown, Detail: "the VM process that the key names is gone; whether the request ran cannot be learned here"}
 }
 
+// errFull refuses an operation that exceeds the customer's operation limit.
 func errFull() *refusal.Error {
-	return refusal.New(refusal.Overloaded, "this VM can remember no more operations of the customer; the key is used up, use another").After(askAgain)
+	return refusal.New(refusal.Overloaded, "this VM can remember no more operations of the customer; the key is used up, use another").After(retryDelay)
 }
 
-func errOf(v once.Verdict) *refusal.Error {
+// verdictError returns the refusal for a verdict that rejects the key.
+func verdictError(v once.Verdict) *refusal.Error {
 	switch v {
 	case once.Mismatch:
 		return refusal.New(refusal.BadRequest, "the key was used for another request; use another key")
@@ -308,13 +319,13 @@
 	}
 }
 
-// timeLeft is the budget less what the way back takes.
+// timeLeft returns the budget minus the margin for the reply.
 func timeLeft(k *contract.Kind, req *Request) time.Duration {
 	d := budget(k, req)
-	return d - time.Duration(float64(d)*replyMargin)
+	return d - time.Duration(float64(d)*replyMarginFraction)
 }
 
-// budget is the shorter of the contract's and the caller's deadline.
+// budget returns the shorter of the contract's and the caller's deadline.
 func budget(k *contract.Kind, req *Request) time.Duration {
 	if req.Deadline > 0 {
 		return min(k.Deadline(), req.Deadline)
--- a/internal/frontend/parameters.go
+++ b/internal/frontend/parameters.go
@@ -8,15 +8,15 @@
 	"sycamorekeel.example/sycamorekeel/internal/refusal"
 )
 
-// parameters are the fields of a body that sycamorekeel itself reads.
+// parameters holds the fields of a request body that sycamorekeel interprets.
 type parameters struct {
-	// Key chooses the shard of a kind that asks a single one.
+	// Key selects the shard for kinds that query a single shard.
 	Key string
-	// Limit is the most hits wanted.
+	// Limit is the maximum number of hits to return; 0 means no limit.
 	Limit int
 }
 
-// readParameters reads a body, which must be one JSON object.
+// readParameters parses a body, which must be exactly one JSON object.
 func readParameters(body []byte) (parameters, *refusal.Error) {
 	var p parameters
 	if err := p.read(json.NewDecoder(bytes.NewReader(body))); err != nil {
@@ -28,6 +28,7 @@
 	return p, nil
 }
 
+// parameterError describes a violated rule for the body.
 type parameterError string
 
 func (e parameterError) Error() string { return string(e) }
@@ -45,9 +46,9 @@
 			return err
 		}
 		name, _ := t.(string)
-		// Of two members with one name this reader would take the last and an
-		// upstream may take the first: the shard that is asked would not hold
-		// the document that is looked for.
+		// Reject duplicate members: this decoder uses the last and an upstream
+		// may use the first, so the query could go to a shard that does not hold
+		// the document.
 		if seen[name] {
 			return parameterError("member \"" + name + "\" stands twice")
 		}
@@ -65,6 +66,7 @@
 	return nil
 }
 
+// member decodes the value of one member and skips unknown ones.
 func (p *parameters) member(dec *json.Decoder, name string) error {
 	switch name {
 	case "key":
--- a/internal/frontend/parameters_test.go
+++ b/internal/frontend/parameters_test.go
@@ -7,8 +7,8 @@
 	"sycamorekeel.example/sycamorekeel/internal/refusal"
 )
 
-// FuzzParameters: a body is refused as not run, or it is one JSON object that the
-// standard library reads alike.
+// FuzzParameters checks that a body is either refused as not run, or is one JSON
+// object that encoding/json decodes to the same key.
 func FuzzParameters(f *testing.F) {
 	for _, body := range []string{
 		`{"key":"royalty-17","limit":3,"query":{"a":[1,2,{"key":"x"}]}}`,
@@ -29,7 +29,7 @@
 		}
 		var members map[string]json.RawMessage
 		if err := json.Unmarshal(body, &members); err != nil || members == nil || p.Limit < 0 {
-			t.Fatalf("%q is taken: %v", body, err)
+			t.Fatalf("%q is accepted: %v", body, err)
 		}
 		var key string
 		if raw, ok := members["key"]; ok {
--- a/internal/frontend/reply.go
+++ b/internal/frontend/reply.go
@@ -13,40 +13,42 @@
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail says why, whether the request ran, and when to come back.
+// ErrorDetail holds the reason of a refusal, whether the request ran and when to
+// retry.
 type ErrorDetail struct {
 	Reason  refusal.Reason `json:"reason"`
 	Ran     refusal.Ran    `json:"ran"`
 	Message string         `json:"message"`
-	// RetryAfterMS is absent when coming back will not help.
+	// RetryAfterMS is absent if a retry cannot succeed.
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 	RequestID    string `json:"request_id,omitempty"`
-	// Operation is the key of a non-idempotent request.
+	// Operation is the idempotency key of a non-idempotent request.
 	Operation string    `json:"operation,omitempty"`
 	Coverage  *Coverage `json:"coverage,omitempty"`
 }
 
-// Reply is an answer or a refusal in the form a caller gets it. It is immutable:
-// the callers of one operation share it.
+// Reply is an answer or a refusal as sent to a caller. It is immutable, because
+// all callers of one operation share it.
 type Reply struct {
 	// Status is the HTTP status.
 	Status    int
 	RequestID string
-	// RetryAfter is 0 when coming back will not help.
+	// RetryAfter is 0 if a retry cannot succeed.
 	RetryAfter time.Duration
 	// Body is JSON.
 	Body []byte
 }
 
-// replyOverhead is about the memory of a kept reply besides its body.
+// replyOverhead is the approximate memory of a stored reply without its body, in
+// bytes.
 const replyOverhead = 256
 
-// Size is about how many bytes the reply holds in memory.
+// Size returns the approximate memory of the reply in bytes.
 func (r *Reply) Size() int {
 	return replyOverhead + len(r.Body)
 }
 
-// Answered is the reply that carries an answer.
+// Answered returns the reply for an answer.
 func Answered(a *Answer) *Reply {
 	body, err := json.Marshal(a)
 	if err != nil {
@@ -59,7 +61,7 @@
 	return &Reply{Status: http.StatusOK, RequestID: a.RequestID, Body: body}
 }
 
-// Refused is the reply that carries a refusal.
+// Refused returns the reply for a refusal.
 func Refused(f *Failure) *Reply {
 	d := ErrorDetail{
 		Reason:    f.Reason,
@@ -72,7 +74,7 @@
 	if f.RetryAfter > 0 {
 		d.RetryAfterMS = max(1, f.RetryAfter.Milliseconds())
 	}
-	// Strings and numbers only: it cannot fail.
+	// ErrorBody holds only strings and numbers, so Marshal cannot fail.
 	body, _ := json.Marshal(ErrorBody{Error: d})
 	return &Reply{Status: f.Reason.Status(), RequestID: f.RequestID, RetryAfter: f.RetryAfter, Body: body}
 }
--- a/internal/frontend/scatter.go
+++ b/internal/frontend/scatter.go
@@ -9,29 +9,30 @@
 	"sycamorekeel.example/sycamorekeel/internal/refusal"
 )
 
-// overloadRetry is the least time a caller is sent away for while a service is
+// minOverloadRetry is the minimum retry delay sent to a caller while a service is
 // congested.
-const overloadRetry = 100 * time.Millisecond
+const minOverloadRetry = 100 * time.Millisecond
 
-// startScatter lets a query begin, or refuses it while its service is congested.
+// startScatter starts a query, or refuses it while its service is congested.
 func (f *Frontend) startScatter(k *contract.Kind) *refusal.Error {
 	if f.opts.Unbounded {
 		return nil
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	l := f.scatters[k.Service.Name]
+	l := f.limiters[k.Service.Name]
 	if l == nil {
 		l = congestion.New(congestion.DefaultPolicy())
-		f.scatters[k.Service.Name] = l
+		f.limiters[k.Service.Name] = l
 	}
 	if l.Start(k.Priority) {
 		return nil
 	}
-	return refusal.New(refusal.Overloaded, "the upstreams of "+k.Service.Name+" have no room for another query").After(max(overloadRetry, k.Deadline()/2))
+	return refusal.New(refusal.Overloaded, "the upstreams of "+k.Service.Name+" have no room for another query").After(max(minOverloadRetry, k.Deadline()/2))
 }
 
-// endScatter learns from the outcome; nil for a query that was abandoned.
+// endScatter reports the outcome of a query to the service's limiter; o is nil if
+// the query was abandoned.
 func (f *Frontend) endScatter(k *contract.Kind, started time.Time, o *query.Outcome) {
 	if f.opts.Unbounded {
 		return
@@ -39,16 +40,17 @@
 	now := f.opts.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	l := f.scatters[k.Service.Name]
+	l := f.limiters[k.Service.Name]
 	if o == nil {
 		l.Abandon()
 		return
 	}
-	l.Done(now, started, congestion.Outcome{Shards: len(o.Shards), NoRoom: noRoom(o)})
+	l.Done(now, started, congestion.Outcome{Shards: len(o.Shards), NoRoom: saturatedShards(o)})
 }
 
-// noRoom is how many shards were refused for want of room at least once.
-func noRoom(o *query.Outcome) int {
+// saturatedShards counts the shards that refused at least one sub-request for lack
+// of capacity.
+func saturatedShards(o *query.Outcome) int {
 	n := 0
 	for i := range o.Shards {
 		if o.Shards[i].FoundNoRoom() {
--- a/internal/frontend/witness.go
+++ b/internal/frontend/witness.go
@@ -15,29 +15,31 @@
 	"sycamorekeel.example/sycamorekeel/internal/refusal"
 )
 
-// heldRetry lets the trial of a suspect end.
+// heldRetry is the retry delay of a held request, long enough for the trial of a
+// suspect to end.
 const heldRetry = time.Second
 
-// witness tells the guard what becomes of upstreams under one request. It implements
-// query.Witness.
+// witness reports to the guard whether upstreams crash while they run one request.
+// It implements query.Witness.
 type witness struct {
 	guard   *poison.Guard
 	subject func() poison.Subject
-	// trial says that the request is a suspect.
+	// trial is set if the request is suspected of crashing upstreams.
 	trial bool
-	// ended says that an upstream has ended under it, survived that one has not.
+	// ended is set if an upstream ended while running the request, survived if one
+	// completed it.
 	ended, survived atomic.Bool
 }
 
-// witness is the request's, or why the request is not run: upstreams crash under what is
-// asked, or others are trying it.
-func (w *walk) witness() (*witness, *refusal.Error) {
-	out := &witness{guard: w.front.opts.Poison, subject: w.subject}
+// witness returns the request's witness. It refuses a request that is known to crash
+// upstreams, and a suspect request while other copies are on trial.
+func (x *execution) witness() (*witness, *refusal.Error) {
+	out := &witness{guard: x.front.opts.Poison, subject: x.subject}
 	if out.guard.Empty() {
 		return out, nil
 	}
-	now := w.front.opts.Now
-	switch a := out.guard.Admit(now, rand.Float64, w.subject()); {
+	now := x.front.opts.Now
+	switch a := out.guard.Admit(now, rand.Float64, x.subject()); {
 	case a.Standing == quarantine.Blocked:
 		return nil, refusal.New(refusal.PoisonRequest, "upstreams crash under this request").After(a.Until.Sub(now()))
 	case a.Held:
@@ -48,11 +50,11 @@
 	}
 }
 
-// subject is the request in words to the guard.
-func (w *walk) subject() poison.Subject {
+// subject describes the request to the guard.
+func (x *execution) subject() poison.Subject {
 	return poison.Subject{
-		Content: fingerprint.Of("query", w.kind.Customer, w.kind.Name, w.req.Body),
-		Fields:  []zap.Field{zap.String("request", w.id), zap.String("customer", w.kind.Customer), zap.String("kind", w.kind.Name)},
+		Content: fingerprint.Of("query", x.kind.Customer, x.kind.Name, x.req.Body),
+		Fields:  []zap.Field{zap.String("request", x.id), zap.String("customer", x.kind.Customer), zap.String("kind", x.kind.Name)},
 	}
 }
 
@@ -62,7 +64,7 @@
 	if w.survived.Load() {
 		return
 	}
-	w.guard.Crashed(endedAt, w.subject(), quarantine.Crash{Start: startOf(u), SentAt: sentAt, EndedAt: endedAt})
+	w.guard.Crashed(endedAt, w.subject(), quarantine.Crash{Start: upstreamHash(u), SentAt: sentAt, EndedAt: endedAt})
 }
 
 // Survived implements query.Witness.
@@ -78,18 +80,19 @@
 	return !w.guard.Empty() && w.guard.Blocked(now, w.subject().Content)
 }
 
-// close ends the request: what is known of one that no upstream has survived is told to
-// peers.
+// close ends the request. If an upstream ended and none completed the request, the
+// guard shares its record with peers.
 func (w *witness) close() {
 	if w.ended.Load() && !w.survived.Load() {
 		w.guard.Unanswered(w.subject().Content)
 	}
 }
 
-// startOf names an upstream in a few bytes. Here processes do not tell their starts.
-func startOf(u *contract.Upstream) uint32 {
+// upstreamHash identifies an upstream by a hash of its ID. The ID takes the place of a
+// process start, which upstreams do not report here.
+func upstreamHash(u *contract.Upstream) uint32 {
 	h := fnv.New32a()
-	// A hash never fails to write.
+	// Write on a hash never returns an error.
 	_, _ = h.Write([]byte(u.ID))
 	return h.Sum32()
 }
