--- a/internal/callerapi/callerapi.go
+++ b/internal/callerapi/callerapi.go
@@ -1,5 +1,6 @@
-// Package callerapi is the HTTP interface for callers: authentication, limits
-// on what is read, JSON in and out. It decides nothing else.
+// Package callerapi is the HTTP interface for callers. It authenticates requests,
+// enforces size and time limits on them and translates between HTTP and package
+// frontend, which makes all other decisions.
 package callerapi
 
 import (
@@ -28,88 +29,92 @@
 	EndpointsPath  = "/v1/endpoints"
 	QueryPath      = "/v1/query/"
 	HeaderDeadline = "X-Deadline-Ms"
-	// HeaderOperation names a non-idempotent request: lease prefix, full stop,
-	// counter.
+	// HeaderOperation carries the idempotency key of a non-idempotent request:
+	// lease prefix, full stop, counter.
 	HeaderOperation = "Idempotency-Key"
 	HeaderRequestID = "X-Request-Id"
 )
 
-// Timeouts of a connection. A caller that sends or reads too slowly would hold
-// one of the connections for as long as it likes.
+// Timeouts of a connection. Without them, a caller that sends or reads slowly could
+// hold one of the limited connections indefinitely.
 const (
 	readTimeout  = 10 * time.Second
 	writeTimeout = 10 * time.Second
 	idleTimeout  = 60 * time.Second
 )
 
-// maxDeadline is the longest deadline a caller may ask for, in milliseconds. The
-// contract's counts where it is shorter.
-const maxDeadline = 3_600_000
+// maxDeadlineMS is the longest deadline that a caller may request, in milliseconds.
+// A shorter deadline in the contract takes precedence.
+const maxDeadlineMS = 3_600_000
 
-// Endpoints is the answer of EndpointsPath.
+// Endpoints is the JSON response of EndpointsPath.
 type Endpoints struct {
 	Endpoints []Endpoint `json:"endpoints"`
-	// TTLMS is how long the answer may be kept.
+	// TTLMS is how long the response may be cached, in milliseconds.
 	TTLMS int64 `json:"ttl_ms"`
-	// OperationLease is absent when the customer has no non-idempotent kind and
-	// when the VM that was asked is none of Endpoints: ask one of those.
+	// OperationLease is absent if the customer has no non-idempotent kind, or if
+	// the VM that served the request is stopping or not in Endpoints. In the second
+	// case, a VM in Endpoints issues a lease.
 	OperationLease *OperationLease `json:"operation_lease,omitempty"`
 }
 
-// Endpoint is one address to send queries to, best first.
+// Endpoint is an address that accepts queries. Endpoints are listed best first.
 type Endpoint struct {
 	Address    string `json:"address"`
 	DataCentre string `json:"data_centre"`
 }
 
-// OperationLease lets a caller name non-idempotent requests.
+// OperationLease lets a caller build idempotency keys.
 type OperationLease struct {
-	// Prefix is followed by a full stop and a decimal counter, a new one for
-	// each request and the same one for a request sent again.
+	// Prefix starts a key. A full stop and a decimal counter follow: a new counter
+	// for each request, the same one when a request is resent.
 	Prefix string `json:"prefix"`
-	// Address is the VM that runs the requests; others forward to it.
+	// Address is the VM that runs the requests; other VMs forward to it.
 	Address string `json:"address"`
-	// ExpiresInMS is how long to use the prefix for new requests.
+	// ExpiresInMS is how long to use the prefix for new requests, in
+	// milliseconds.
 	ExpiresInMS int64 `json:"expires_in_ms"`
 }
 
-// ErrorBody and ErrorDetail are the JSON of a refusal.
+// ErrorBody and ErrorDetail are the JSON response of a refusal.
 type (
 	ErrorBody   = frontend.ErrorBody
 	ErrorDetail = frontend.ErrorDetail
 )
 
-// Backend is what the interface serves.
+// Backend provides the daemon's state to the interface.
 type Backend interface {
+	// Snapshot returns the contracts in force.
 	Snapshot() *contract.Snapshot
-	// NotReady is empty when requests can be served.
+	// NotReady returns why requests cannot be served, or "" if they can.
 	NotReady() string
-	// Stopping is true from the start of a planned stop: what is under way is
-	// answered, also to callers that ask again, and nothing new is taken.
+	// Stopping reports whether a planned stop has begun. From then on, running
+	// requests are answered, including resent copies, and new requests are refused.
 	Stopping() bool
-	// CallerAddress is this VM's address for callers, IP and port.
+	// CallerAddress returns this VM's address for callers, as IP:port.
 	CallerAddress() string
+	// Endpoints returns the addresses for a customer, without a lease.
 	Endpoints(c *contract.Customer) Endpoints
 }
 
-// Options is what a server needs.
+// Options configures a Server.
 type Options struct {
 	Log        *zap.Logger
 	Limits     *pb.Limits
 	Backend    Backend
 	Frontend   *frontend.Frontend
 	Operations *frontend.Operations
-	// ReadTimeout for a whole request; 0 takes the default.
+	// ReadTimeout is the time limit for reading a request; 0 means 10 s.
 	ReadTimeout time.Duration
 }
 
-// Server is the caller interface of one daemon.
+// Server is the HTTP server for callers of one daemon.
 type Server struct {
 	httpserver.Server
 	opts Options
 }
 
-// New makes a server.
+// New returns a server for the given options.
 func New(opts Options) *Server {
 	if opts.ReadTimeout == 0 {
 		opts.ReadTimeout = readTimeout
@@ -118,7 +123,7 @@
 	s.Server = httpserver.New(&fasthttp.Server{
 		Name:               "sycamorekeel",
 		Handler:            s.handle,
-		ErrorHandler:       s.unreadable,
+		ErrorHandler:       s.handleReadError,
 		MaxRequestBodySize: int(opts.Limits.MaxBodyBytes),
 		ReadBufferSize:     int(opts.Limits.MaxHeaderBytes),
 		Concurrency:        int(opts.Limits.MaxConnections),
@@ -126,7 +131,7 @@
 		ReadTimeout:        opts.ReadTimeout,
 		WriteTimeout:       writeTimeout,
 		IdleTimeout:        idleTimeout,
-		// A body is passed on as it came: nothing is to parse it here.
+		// Bodies are forwarded unchanged, so the server must not parse them.
 		DisablePreParseMultipartForm: true,
 	})
 	return s
@@ -137,15 +142,16 @@
 	kind, isQuery := strings.CutPrefix(path, QueryPath)
 	switch {
 	case path == EndpointsPath:
-		s.only(ctx, fasthttp.MethodGet, s.endpoints)
+		s.requireMethod(ctx, fasthttp.MethodGet, s.endpoints)
 	case isQuery:
-		s.only(ctx, fasthttp.MethodPost, func(ctx *fasthttp.RequestCtx) { s.query(ctx, kind) })
+		s.requireMethod(ctx, fasthttp.MethodPost, func(ctx *fasthttp.RequestCtx) { s.query(ctx, kind) })
 	default:
 		s.refuse(ctx, refusal.New(refusal.NotFound, "no such path; there are "+EndpointsPath+" and "+QueryPath+"{kind}"))
 	}
 }
 
-func (s *Server) only(ctx *fasthttp.RequestCtx, method string, next fasthttp.RequestHandler) {
+// requireMethod calls next if the request has the given method and refuses others.
+func (s *Server) requireMethod(ctx *fasthttp.RequestCtx, method string, next fasthttp.RequestHandler) {
 	if string(ctx.Method()) != method {
 		ctx.Response.Header.Set(fasthttp.HeaderAllow, method)
 		s.refuse(ctx, refusal.New(refusal.MethodNotAllowed, "the method here is "+method))
@@ -154,14 +160,15 @@
 	next(ctx)
 }
 
-// unreadable answers a request whose head or body could not be read.
-func (s *Server) unreadable(ctx *fasthttp.RequestCtx, err error) {
-	s.refuse(ctx, s.errUnreadable(err))
+// handleReadError refuses a request whose head or body could not be read.
+func (s *Server) handleReadError(ctx *fasthttp.RequestCtx, err error) {
+	s.refuse(ctx, s.readError(err))
 }
 
-// errUnreadable says "not run" of a request that every copy of would be refused
-// for. A request that broke off may be a copy of one that ran.
-func (s *Server) errUnreadable(err error) *refusal.Error {
+// readError returns the refusal for a request that could not be read. It says "not
+// run" only if every copy of the request would be refused alike. An incomplete
+// request may be a copy of one that ran.
+func (s *Server) readError(err error) *refusal.Error {
 	var small *fasthttp.ErrSmallBuffer
 	var timeout net.Error
 	switch {
@@ -182,7 +189,7 @@
 		return
 	}
 	e := s.opts.Backend.Endpoints(c)
-	if needsLease(c) && s.serves(&e) {
+	if needsLease(c) && s.canLease(&e) {
 		prefix, use := s.opts.Operations.Lease(c.Name)
 		e.OperationLease = &OperationLease{Prefix: prefix, Address: s.opts.Backend.CallerAddress(), ExpiresInMS: use.Milliseconds()}
 	}
@@ -191,12 +198,12 @@
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 		return
 	}
-	write(ctx, &frontend.Reply{Status: fasthttp.StatusOK, Body: body})
+	writeReply(ctx, &frontend.Reply{Status: fasthttp.StatusOK, Body: body})
 }
 
-// serves tells whether a lease of this VM is of use: one of a VM that the
-// customer is sent away from would only give refusals.
-func (s *Server) serves(e *Endpoints) bool {
+// canLease reports whether this VM should issue a lease. Requests under a lease of a
+// VM that is stopping or not among the customer's endpoints would only be refused.
+func (s *Server) canLease(e *Endpoints) bool {
 	if s.opts.Backend.Stopping() {
 		return false
 	}
@@ -204,6 +211,7 @@
 	return slices.ContainsFunc(e.Endpoints, func(v Endpoint) bool { return v.Address == own })
 }
 
+// needsLease reports whether the customer has a non-idempotent kind.
 func needsLease(c *contract.Customer) bool {
 	for _, k := range c.Kinds {
 		if !k.Idempotent {
@@ -223,19 +231,20 @@
 		s.refuse(ctx, refusal.New(refusal.UnknownKind, "the contract of "+c.Name+" has no kind "+strconv.Quote(name)))
 		return
 	}
-	req, err := request(ctx)
+	req, err := parseRequest(ctx)
 	if err != nil {
 		s.refuse(ctx, err)
 		return
 	}
-	write(ctx, s.opts.Operations.Serve(context.Background(), k, req))
+	writeReply(ctx, s.opts.Operations.Serve(context.Background(), k, req))
 }
 
-// request copies what outlives the handler: the library reuses its buffers.
-func request(ctx *fasthttp.RequestCtx) (*frontend.Request, *refusal.Error) {
+// parseRequest reads the body, key and deadline of a query. It copies what outlives
+// the handler, because fasthttp reuses its buffers.
+func parseRequest(ctx *fasthttp.RequestCtx) (*frontend.Request, *refusal.Error) {
 	for _, name := range []string{HeaderOperation, HeaderDeadline} {
-		// With two values the library gives one and another reader may take
-		// the other: two keys for one request.
+		// fasthttp returns one of two values and another reader may use the
+		// other, which gives one request two keys.
 		if len(ctx.Request.Header.PeekAll(name)) > 1 {
 			return nil, refusal.New(refusal.BadRequest, name+" must be given once")
 		}
@@ -249,13 +258,14 @@
 		return req, nil
 	}
 	ms, err := strconv.ParseUint(text, 10, 32)
-	if err != nil || ms == 0 || ms > maxDeadline {
-		return nil, refusal.New(refusal.BadRequest, HeaderDeadline+" must be a whole number of milliseconds from 1 to "+strconv.Itoa(maxDeadline))
+	if err != nil || ms == 0 || ms > maxDeadlineMS {
+		return nil, refusal.New(refusal.BadRequest, HeaderDeadline+" must be a whole number of milliseconds from 1 to "+strconv.Itoa(maxDeadlineMS))
 	}
 	req.Deadline = time.Duration(ms) * time.Millisecond
 	return req, nil
 }
 
+// authenticate returns the customer of the request's token, or refuses the request.
 func (s *Server) authenticate(ctx *fasthttp.RequestCtx) (*contract.Customer, bool) {
 	if why := s.opts.Backend.NotReady(); why != "" && !s.opts.Backend.Stopping() {
 		s.refuse(ctx, refusal.New(refusal.NotReady, why).After(time.Second))
@@ -272,10 +282,10 @@
 	return nil, false
 }
 
-// refuse answers a request that did not reach the table of operations. When it
-// carries a key, an earlier copy may have reached it, here or on another VM, so
-// "not run" would be a guess: the caller would choose another key and the
-// request could run twice.
+// refuse refuses a request that did not reach the operation table. If the request
+// carries a key, an earlier copy may have reached the table of this or another VM.
+// The refusal then must not say "not run": the caller would choose another key and
+// the request could run twice.
 func (s *Server) refuse(ctx *fasthttp.RequestCtx, e *refusal.Error) {
 	operation := string(ctx.Request.Header.Peek(HeaderOperation))
 	if _, err := once.ParseKey(operation); err != nil {
@@ -284,10 +294,10 @@
 		e = e.Unproven()
 	}
 	s.opts.Frontend.Refuse(e)
-	write(ctx, frontend.Refused(&frontend.Failure{Error: e, Operation: operation}))
+	writeReply(ctx, frontend.Refused(&frontend.Failure{Error: e, Operation: operation}))
 }
 
-func write(ctx *fasthttp.RequestCtx, r *frontend.Reply) {
+func writeReply(ctx *fasthttp.RequestCtx, r *frontend.Reply) {
 	h := &ctx.Response.Header
 	if r.RequestID != "" {
 		h.Set(HeaderRequestID, r.RequestID)
