--- a/internal/operatorapi/contract_test.go
+++ b/internal/operatorapi/contract_test.go
@@ -23,9 +23,9 @@
 	"sycamorekeel.example/sycamorekeel/internal/operatorapi"
 )
 
-func TestContract(t *testing.T) {
+func TestOperatorAPI(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "Operator interface")
+	RunSpecs(t, "Operator API")
 }
 
 const operatorToken = "operators-token"
@@ -38,8 +38,9 @@
 
 func (b *backend) NotReady() string { return b.notReady }
 
-// startOperator serves one recorded request, id "known".
-func startOperator(b *backend, token string) string {
+// startServer starts a server that has one recorded request, ID "known", and
+// returns its address.
+func startServer(b *backend, token string) string {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(prometheus.NewCounter(prometheus.CounterOpts{Name: "sycamorekeel_contract_rows_total", Help: "Rows."}))
 	ring := explain.NewRing(2)
@@ -61,7 +62,7 @@
 	return ln.Addr().String()
 }
 
-// raw sends bytes and reads one answer.
+// raw sends request unchanged and reads one response.
 func raw(address, request string) (status int, body string) {
 	conn, err := net.Dial("tcp", address)
 	Expect(err).NotTo(HaveOccurred())
@@ -85,15 +86,14 @@
 	return head + "\r\n"
 }
 
-const right = "Bearer " + operatorToken
+const validAuthorization = "Bearer " + operatorToken
 
-// Symptom: an outsider reads the fleet's status, or an operator cannot tell a
-// daemon that is up from one that may serve.
-// Sequence: a request with one thing wrong.
-// Cause: a path without its check, or an answer without its reason.
+// Guards against a path without its token check, which exposes the fleet's status,
+// and against a response without its reason, which hides whether a running daemon is
+// ready. Each entry is a valid request or has one defect.
 var _ = DescribeTable("the operator interface",
 	func(request string, notReady string, status int, contains string) {
-		got, body := raw(startOperator(&backend{notReady: notReady}, operatorToken), request)
+		got, body := raw(startServer(&backend{notReady: notReady}, operatorToken), request)
 		Expect(got).To(Equal(status), body)
 		Expect(body).To(ContainSubstring(contains))
 		Expect(body).NotTo(ContainSubstring(operatorToken))
@@ -101,29 +101,29 @@
 	Entry("health without a token", get("/healthz", ""), "", 200, `"up"`),
 	Entry("health while not ready", get("/healthz", ""), "no configuration", 200, `"up"`),
 	Entry("ready", get("/readyz", ""), "", 200, `"ready"`),
-	Entry("not ready says why", get("/readyz", ""), "no configuration", 503, "no configuration"),
-	Entry("status", get("/v1/status", right), "", 200, `"config_revision":12`),
-	Entry("status while not ready", get("/v1/status", right), "no configuration", 200, `"not_ready":"no configuration"`),
+	Entry("not ready, with the reason", get("/readyz", ""), "no configuration", 503, "no configuration"),
+	Entry("status", get("/v1/status", validAuthorization), "", 200, `"config_revision":12`),
+	Entry("status while not ready", get("/v1/status", validAuthorization), "no configuration", 200, `"not_ready":"no configuration"`),
 	Entry("status without a token", get("/v1/status", ""), "", 401, "token"),
 	Entry("status with a wrong token", get("/v1/status", "Bearer operators-tokem"), "", 401, "token"),
-	Entry("status with a longer token", get("/v1/status", right+"x"), "", 401, "token"),
+	Entry("status with a longer token", get("/v1/status", validAuthorization+"x"), "", 401, "token"),
 	Entry("status with an empty token", get("/v1/status", "Bearer "), "", 401, "token"),
 	Entry("status with another scheme", get("/v1/status", "Basic "+operatorToken), "", 401, "token"),
-	Entry("metrics", get("/metrics", right), "", 200, "sycamorekeel_contract_rows_total 0"),
+	Entry("metrics", get("/metrics", validAuthorization), "", 200, "sycamorekeel_contract_rows_total 0"),
 	Entry("metrics without a token", get("/metrics", ""), "", 401, "token"),
-	Entry("explain", get("/v1/explain/known", right), "", 200, `"customer":"office"`),
-	Entry("explain of an unknown request", get("/v1/explain/unknown", right), "", 404, "unknown"),
-	Entry("explain of nothing", get("/v1/explain/", right), "", 404, "error"),
+	Entry("explain", get("/v1/explain/known", validAuthorization), "", 200, `"customer":"office"`),
+	Entry("explain of an unknown request", get("/v1/explain/unknown", validAuthorization), "", 404, "unknown"),
+	Entry("explain without an ID", get("/v1/explain/", validAuthorization), "", 404, "error"),
 	Entry("explain without a token", get("/v1/explain/known", ""), "", 401, "token"),
-	Entry("a path that is none", get("/v2/status", right), "", 404, "no such path"),
-	Entry("a path that is none, without a token", get("/v2/status", ""), "", 401, "token"),
+	Entry("an unknown path", get("/v2/status", validAuthorization), "", 404, "no such path"),
+	Entry("an unknown path without a token", get("/v2/status", ""), "", 401, "token"),
 	Entry("headers too long", get("/healthz", strings.Repeat("x", 1<<16)), "", 431, ""),
 	Entry("not HTTP", "hello\r\n\r\n", "", 400, ""),
 )
 
-var _ = Describe("without a token in the settings", func() {
-	It("is open", func() {
-		status, body := raw(startOperator(&backend{}, ""), get("/v1/status", ""))
+var _ = Describe("the operator interface without a token in the settings", func() {
+	It("requires no token", func() {
+		status, body := raw(startServer(&backend{}, ""), get("/v1/status", ""))
 		Expect(status).To(Equal(200))
 		var s operatorapi.Status
 		Expect(json.Unmarshal([]byte(body), &s)).To(Succeed())
--- a/internal/operatorapi/operatorapi.go
+++ b/internal/operatorapi/operatorapi.go
@@ -1,5 +1,5 @@
-// Package operatorapi is the HTTP interface for operators: health, readiness,
-// metrics, status and explain. It changes nothing.
+// Package operatorapi is the read-only HTTP interface for operators: health,
+// readiness, metrics, status and explain.
 package operatorapi
 
 import (
@@ -30,9 +30,10 @@
 	ExplainPath = "/v1/explain/"
 )
 
+// timeout limits reading a request and the idle time of a connection.
 const timeout = 10 * time.Second
 
-// Status is the answer of StatusPath.
+// Status is the JSON response of StatusPath.
 type Status struct {
 	VM          string            `json:"vm"`
 	Incarnation uint64            `json:"incarnation"`
@@ -48,52 +49,53 @@
 	Owned       []string          `json:"owned_upstreams"`
 }
 
-// Platform is how this VM stands with the configuration service.
+// Platform is the state of this VM's access to the configuration service.
 type Platform struct {
-	// Reader says that this VM watches it; the others learn from peers.
+	// Reader reports whether this VM watches the service. Other VMs pull the
+	// configuration from peers.
 	Reader bool `json:"reader"`
-	// ConfirmedMS is how long ago it last confirmed the configuration, here or
-	// at the VM this one learnt from.
+	// ConfirmedMS is the time since the service last confirmed the configuration,
+	// to this VM or to the VM it was pulled from, in milliseconds.
 	ConfirmedMS int64 `json:"confirmed_ms_ago"`
-	// Failures is the reads in a row that failed here, and Reason why the last
-	// one did.
+	// Failures counts the consecutive failed reads of this VM. Reason states why
+	// the last one failed.
 	Failures int    `json:"failures,omitempty"`
 	Reason   string `json:"reason,omitempty"`
 }
 
-// Member is one VM as this one sees it.
+// Member is a VM in this VM's membership view.
 type Member struct {
 	VM         string `json:"vm"`
 	State      string `json:"state"`
 	DataCentre string `json:"data_centre"`
 }
 
-// Backend is what the interface shows.
+// Backend provides the daemon's state to the interface.
 type Backend interface {
 	Status() Status
-	// NotReady is empty when requests can be served.
+	// NotReady returns why requests cannot be served, or "" if they can.
 	NotReady() string
 }
 
-// Options is what a server needs.
+// Options configures a Server.
 type Options struct {
 	Log      *zap.Logger
 	Gatherer prometheus.Gatherer
 	Backend  Backend
 	Explain  *explain.Ring
-	// TokenSHA256 is the lower-case hex hash of the operators' token; empty
-	// lets everyone in who reaches the address.
+	// TokenSHA256 is the SHA-256 hash of the operators' token in lower-case hex. If
+	// it is empty, no token is required.
 	TokenSHA256 string
 }
 
-// Server is the operator interface of one daemon.
+// Server is the HTTP server for operators of one daemon.
 type Server struct {
 	httpserver.Server
 	opts    Options
 	metrics fasthttp.RequestHandler
 }
 
-// New makes a server.
+// New returns a server for the given options.
 func New(opts Options) *Server {
 	s := &Server{
 		opts:    opts,
@@ -114,7 +116,7 @@
 		writeJSON(ctx, fasthttp.StatusOK, map[string]string{"status": "up"})
 	case path == ReadyPath:
 		s.ready(ctx)
-	case !s.allowed(ctx):
+	case !s.authorized(ctx):
 		writeError(ctx, fasthttp.StatusUnauthorized, "the operators' bearer token is needed")
 	case path == MetricsPath:
 		s.metrics(ctx)
@@ -127,7 +129,9 @@
 	}
 }
 
-func (s *Server) allowed(ctx *fasthttp.RequestCtx) bool {
+// authorized reports whether the request carries the operators' token. It compares
+// in constant time.
+func (s *Server) authorized(ctx *fasthttp.RequestCtx) bool {
 	if s.opts.TokenSHA256 == "" {
 		return true
 	}
@@ -137,6 +141,7 @@
 	return ok && match
 }
 
+// ready reports readiness, or 503 with the reason.
 func (s *Server) ready(ctx *fasthttp.RequestCtx) {
 	if why := s.opts.Backend.NotReady(); why != "" {
 		writeError(ctx, fasthttp.StatusServiceUnavailable, why)
@@ -145,6 +150,7 @@
 	writeJSON(ctx, fasthttp.StatusOK, map[string]string{"status": "ready"})
 }
 
+// explain returns the recorded request with the given ID.
 func (s *Server) explain(ctx *fasthttp.RequestCtx, id string) {
 	rec, ok := s.opts.Explain.Find(id)
 	if !ok {
