--- a/internal/callerapi/callerapi.go
+++ b/internal/callerapi/callerapi.go
@@ -293,7 +293,7 @@
 	} else {
 		e = e.Unproven()
 	}
-	s.opts.Frontend.Refuse(e)
+	s.opts.Frontend.CountRefusal(e)
 	writeReply(ctx, frontend.Refused(&frontend.Failure{Error: e, Operation: operation}))
 }
 
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -163,8 +163,8 @@
 	return answer, failure
 }
 
-// Refuse counts a refusal made outside Query.
-func (f *Frontend) Refuse(e *refusal.Error) {
+// CountRefusal counts a refusal made outside Query.
+func (f *Frontend) CountRefusal(e *refusal.Error) {
 	f.met.countRefusal(e)
 }
 
--- a/internal/frontend/operations.go
+++ b/internal/frontend/operations.go
@@ -179,7 +179,7 @@
 	case once.Running:
 		return o.await(ctx, k, req, p)
 	case once.Full:
-		o.opts.Frontend.Refuse(errFull())
+		o.opts.Frontend.CountRefusal(errFull())
 		return d.Outcome
 	default:
 		return o.refuse(req, verdictError(d.Verdict))
@@ -290,7 +290,7 @@
 }
 
 func (o *Operations) refuse(req *Request, e *refusal.Error) *Reply {
-	o.opts.Frontend.Refuse(e)
+	o.opts.Frontend.CountRefusal(e)
 	return Refused(&Failure{Error: e, Operation: req.Operation})
 }
 
