--- a/internal/balance/model.go
+++ b/internal/balance/model.go
@@ -167,13 +167,13 @@
 		c.rejected(outcome{refused: true}, v.limiter.RetryAfter(c.model.clock.Now()))
 		return
 	}
-	v.ask(c.kind, c.began.Add(c.kind.Deadline), func(q *query, verdict *scatter.Verdict) {
+	v.ask(c.kind, c.began.Add(c.kind.Deadline), func(q *query, verdict *scatter.Outcome) {
 		v.ended(q)
 		c.verdict(verdict)
 	})
 }
 
-func (c *caller) verdict(v *scatter.Verdict) {
+func (c *caller) verdict(v *scatter.Outcome) {
 	switch {
 	case v.Reason == scatter.None:
 		missing := 0
--- a/internal/balance/query.go
+++ b/internal/balance/query.go
@@ -29,24 +29,24 @@
 	query *scatter.Query
 	sends []*send
 	// done gets the verdict, once.
-	done func(*query, *scatter.Verdict)
+	done func(*query, *scatter.Outcome)
 	over bool
 	// wakeAt is when its next step is planned, zero for none.
 	wakeAt time.Time
 }
 
 // ask begins a query whose caller leaves at a time.
-func (v *vm) ask(k *Kind, leaves time.Time, done func(*query, *scatter.Verdict)) {
+func (v *vm) ask(k *Kind, leaves time.Time, done func(*query, *scatter.Outcome)) {
 	now := v.model.clock.Now()
 	for _, b := range v.budgets {
-		b.Request()
+		b.AddRequest()
 	}
 	q := &query{vm: v, kind: k, began: now, done: done}
 	services := v.model.services
 	floor := max(1, int(math.Ceil(k.MinCoverage*float64(len(services))-1e-9)))
 	q.query = scatter.New(scatter.Plan{
 		Services: services, Idempotent: true, Attempts: 2, MinParts: floor,
-		AnswerBy: q.answerBy(leaves), GiveUp: leaves.Add(-giveUpMargin),
+		AnswerBy: q.answerBy(leaves), Deadline: leaves.Add(-giveUpMargin),
 	}, q)
 	q.step(func() []scatter.Send { return q.query.Start(now) })
 }
@@ -75,7 +75,7 @@
 	for _, s := range move() {
 		q.send(s)
 	}
-	if v := q.query.Verdict(); v != nil {
+	if v := q.query.Outcome(); v != nil {
 		q.over = true
 		q.withdraw(func(*send) bool { return true })
 		q.done(q, v)
--- a/internal/balance/vm.go
+++ b/internal/balance/vm.go
@@ -85,7 +85,7 @@
 	r := rand.New(rand.NewPCG(m.opts.Seed, uint64(i)+100))
 	v := &vm{model: m, rand: r, place: place, budgets: map[string]*retrybudget.Budget{}, pools: map[string]*pool{}}
 	v.replicas = replica.New(place, r)
-	v.replicas.Keep(m.clock.Now(), m.registered)
+	v.replicas.SetUpstreams(m.clock.Now(), m.registered)
 	v.limiter = congestion.New(congestion.DefaultPolicy().WithSlots(m.opts.Copies * m.opts.Slots))
 	for _, service := range m.services {
 		v.budgets[service] = retrybudget.New(m.opts.Budget, 1/float64(m.opts.VMs), m.clock.Now())
--- a/internal/direct/conn.go
+++ b/internal/direct/conn.go
@@ -204,7 +204,7 @@
 	}
 	if c.dialTime > 0 && elapsed < c.dialTime+rejectMargin && !c.pool.isAbandoned() {
 		c.pool.connRejected(time.Now())
-		reply.Result = scatter.Shut
+		reply.Result = scatter.ConnectionClosed
 	}
 	return reply
 }
--- a/internal/direct/direct_test.go
+++ b/internal/direct/direct_test.go
@@ -483,7 +483,7 @@
 		respondWith(func(id string) string { return response(id, "x") })(0, c)
 	})
 	cl := newClient(t, s, 3)
-	if r := cl.call("1"); r.Result != scatter.Shut {
+	if r := cl.call("1"); r.Result != scatter.ConnectionClosed {
 		t.Fatalf("%v (%s)", r.Result, r.Detail)
 	}
 	cl.waitAllClosed()
--- a/internal/edge/answer.go
+++ b/internal/edge/answer.go
@@ -10,7 +10,7 @@
 )
 
 // answer converts the verdict of a query to the answer for the caller.
-func (x *run) answer(v *scatter.Verdict) Answer {
+func (x *run) answer(v *scatter.Outcome) Answer {
 	a := Answer{Reason: Reason(v.Reason), NotRun: v.NotRun, Sends: len(x.sends), BudgetRefusals: x.budgetRefusals}
 	a.CongestedParts = x.congestedParts()
 	a.BrokenSends, a.AnsweredSends = x.countResults(scatter.Broken), x.countResults(scatter.Answered)
@@ -56,7 +56,7 @@
 
 // fillFailure sets the failure response of the upstream for a request that is not a query,
 // and the retry time for work that has not run.
-func (x *run) fillFailure(a *Answer, v *scatter.Verdict) {
+func (x *run) fillFailure(a *Answer, v *scatter.Outcome) {
 	if !x.req.Route.FanOut() && v.Failure >= 0 {
 		a.Response = x.sends[v.Failure].reply.Response
 	}
@@ -107,7 +107,7 @@
 	return false
 }
 
-func (x *run) mergeParts(a *Answer, v *scatter.Verdict) {
+func (x *run) mergeParts(a *Answer, v *scatter.Outcome) {
 	var parts [][]byte
 	for i, n := range v.Parts {
 		if n < 0 {
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -139,7 +139,7 @@
 		e.configuredOnce.Do(func() { close(e.configured) })
 	}
 	e.mu.Lock()
-	e.replicas.Keep(now, v.Upstreams)
+	e.replicas.SetUpstreams(now, v.Upstreams)
 	e.pruneRemoved(now, v.Config)
 	e.mu.Unlock()
 	e.pools.Keep(v.Upstreams)
@@ -159,7 +159,7 @@
 	for _, s := range c.Services {
 		services[s.Name] = true
 	}
-	e.replicas.KeepKinds(routes)
+	e.replicas.RetainKinds(routes)
 	for name := range e.draws {
 		if !routes[name] {
 			delete(e.draws, name)
@@ -224,7 +224,7 @@
 func (e *Engine) Tick(now time.Time) {
 	e.pools.Expire(now)
 	e.mu.Lock()
-	changes := e.replicas.StateChanges(now)
+	changes := e.replicas.ReclassifyAll(now)
 	e.mu.Unlock()
 	for _, c := range changes {
 		e.logStateChange(c)
@@ -344,7 +344,7 @@
 		Attempts:   max(1, route.Attempts),
 		MinParts:   1,
 		AnswerBy:   answerBy(r),
-		GiveUp:     r.Received.Add(r.timeout()),
+		Deadline:   r.Received.Add(r.timeout()),
 		Trial:      r.trial,
 	}
 	if !route.FanOut() {
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -205,7 +205,7 @@
 		now = now.Add(time.Second)
 		e.SetView(now, view(i))
 		e.mu.Lock()
-		e.budget(fmt.Sprint(i)).Request()
+		e.budget(fmt.Sprint(i)).AddRequest()
 		e.limiter(&catalog.View{}, &routing.Route{Shards: []string{fmt.Sprint(i)}})
 		e.replicas.HedgeDelay(now, fmt.Sprint(i), time.Second, 0, &catalog.Upstream{})
 		e.mu.Unlock()
--- a/internal/edge/load_test.go
+++ b/internal/edge/load_test.go
@@ -157,7 +157,7 @@
 	}
 	s.current = q
 	move()
-	if v := q.query.Verdict(); v != nil {
+	if v := q.query.Outcome(); v != nil {
 		q.counted = true
 		q.cancelOpen()
 		a := q.answer(v)
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -155,14 +155,14 @@
 	defer e.mu.Unlock()
 	for service, b := range e.budgets {
 		for _, kind := range retrybudget.Kinds {
-			out = append(out, gauge(budgetLeft, max(0, b.Left(now, kind)), service, kind.String()))
+			out = append(out, gauge(budgetLeft, max(0, b.Remaining(now, kind)), service, kind.String()))
 		}
 	}
 	count := e.replicas.Count()
 	for _, state := range replica.States {
 		out = append(out, gauge(upstreamStates, float64(count[state]), state.String()))
 	}
-	for id, state := range e.replicas.Troubled() {
+	for id, state := range e.replicas.Unhealthy() {
 		out = append(out, gauge(upstreamState, 1, id, e.serviceOf(id), state.String()))
 	}
 	return out
--- a/internal/edge/poison.go
+++ b/internal/edge/poison.go
@@ -57,7 +57,7 @@
 		if !x.survived.Swap(true) {
 			e.poison.Survived(now, x.req.subject())
 		}
-	case (r == scatter.Broken || r == scatter.Shut) && !x.survived.Load():
+	case (r == scatter.Broken || r == scatter.ConnectionClosed) && !x.survived.Load():
 		x.connectionBroken = true
 		// Computed here because the check ends in another goroutine.
 		subject := x.req.subject()
--- a/internal/edge/poison_test.go
+++ b/internal/edge/poison_test.go
@@ -166,7 +166,7 @@
 	}
 	move()
 	v.gossip()
-	if verdict := q.query.Verdict(); verdict != nil {
+	if verdict := q.query.Outcome(); verdict != nil {
 		q.counted = true
 		delete(v.calls, q.req.Message)
 		q.cancelOpen()
--- a/internal/edge/run.go
+++ b/internal/edge/run.go
@@ -109,7 +109,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, s := range services {
-		e.budget(s).Request()
+		e.budget(s).AddRequest()
 	}
 }
 
@@ -120,7 +120,7 @@
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	x.dispatch(x.query.Start(now))
-	for x.query.Verdict() == nil {
+	for x.query.Outcome() == nil {
 		timer.Reset(x.nextWake().Sub(x.engine.now()))
 		select {
 		case <-x.replies.signal:
@@ -134,7 +134,7 @@
 		}
 	}
 	x.cancelOpen()
-	return x.answer(x.query.Verdict())
+	return x.answer(x.query.Outcome())
 }
 
 // nextWake returns when the query or the caller must be checked next.
@@ -211,7 +211,7 @@
 		e.replicas.Answered(now, x.req.Route.Name, x.defaultLatency, u, s.id, s.reply.Took)
 	case scatter.Unreached:
 		e.replicas.Unreachable(now, u, s.id)
-	case scatter.Expired, scatter.Shut, scatter.NoConnection, scatter.Barred:
+	case scatter.Expired, scatter.ConnectionClosed, scatter.NoConnection, scatter.Barred:
 		e.replicas.Unsent(u, s.id)
 	case scatter.Refused:
 		if s.refusedFull() {
@@ -222,7 +222,7 @@
 	default:
 		e.replicas.Failed(now, u, s.id)
 	}
-	change, changed = e.replicas.StateChanged(now, u.ID)
+	change, changed = e.replicas.Reclassify(now, u.ID)
 	return change, changed, e.replicas.Window(u)
 }
 
@@ -251,7 +251,7 @@
 	call := &direct.Call{
 		Message:  x.req.Message,
 		Upstream: s.Upstream,
-		Deadline: x.plan.GiveUp,
+		Deadline: x.plan.Deadline,
 		AnswerBy: x.plan.AnswerBy,
 		Priority: x.req.Route.Priority,
 		Extra:    s.Cause != scatter.First,
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -149,11 +149,11 @@
 	return &Table{place: place, rand: r, kinds: map[string]*kindStats{}, upstreams: map[string]*upstreamStats{}}
 }
 
-// Keep drops the upstreams that are not in known, keyed by id, and starts new observations
+// SetUpstreams drops the upstreams that are not in known, keyed by id, and starts new observations
 // for those that are new or have restarted; their cold period begins now. Observations of
 // the former process would have the restarted one avoided until they decay, or given full
 // load while it is cold.
-func (t *Table) Keep(now time.Time, known map[string]*catalog.Upstream) {
+func (t *Table) SetUpstreams(now time.Time, known map[string]*catalog.Upstream) {
 	for id := range t.upstreams {
 		if known[id] == nil {
 			delete(t.upstreams, id)
@@ -167,8 +167,8 @@
 	}
 }
 
-// KeepKinds drops the kinds of requests that are not in known.
-func (t *Table) KeepKinds(known map[string]bool) {
+// RetainKinds drops the kinds of requests that are not in known.
+func (t *Table) RetainKinds(known map[string]bool) {
 	for name := range t.kinds {
 		if !known[name] {
 			delete(t.kinds, name)
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -37,7 +37,7 @@
 		f.replicas = append(f.replicas, u)
 		known[dc] = u
 	}
-	f.table.Keep(f.now, known)
+	f.table.SetUpstreams(f.now, known)
 	return f
 }
 
--- a/internal/replica/restart_test.go
+++ b/internal/replica/restart_test.go
@@ -31,7 +31,7 @@
 	for _, u := range f.replicas {
 		known[u.ID] = u
 	}
-	f.table.Keep(f.now, known)
+	f.table.SetUpstreams(f.now, known)
 }
 
 // Guards against a restarted upstream that is avoided as slow and failing, or gets full load
--- a/internal/replica/state.go
+++ b/internal/replica/state.go
@@ -56,21 +56,21 @@
 	Open int
 }
 
-// StateChanges classifies all upstreams anew and returns those whose state differs from
+// ReclassifyAll classifies all upstreams anew and returns those whose state differs from
 // the previous classification.
-func (t *Table) StateChanges(now time.Time) []StateChange {
+func (t *Table) ReclassifyAll(now time.Time) []StateChange {
 	var out []StateChange
 	for id := range t.upstreams {
-		if change, ok := t.StateChanged(now, id); ok {
+		if change, ok := t.Reclassify(now, id); ok {
 			out = append(out, change)
 		}
 	}
 	return out
 }
 
-// StateChanged classifies one upstream anew and reports whether its state differs from the
+// Reclassify classifies one upstream anew and reports whether its state differs from the
 // previous classification. It returns false for an unknown upstream.
-func (t *Table) StateChanged(now time.Time, id string) (StateChange, bool) {
+func (t *Table) Reclassify(now time.Time, id string) (StateChange, bool) {
 	u := t.upstreams[id]
 	if u == nil {
 		return StateChange{}, false
@@ -96,9 +96,9 @@
 	return out
 }
 
-// Troubled returns the states of the upstreams that are not usable, by id, as of their last
+// Unhealthy returns the states of the upstreams that are not usable, by id, as of their last
 // classification.
-func (t *Table) Troubled() map[string]State {
+func (t *Table) Unhealthy() map[string]State {
 	out := map[string]State{}
 	for id, u := range t.upstreams {
 		if u.state != Usable {
--- a/internal/replica/state_test.go
+++ b/internal/replica/state_test.go
@@ -32,9 +32,9 @@
 	} {
 		f := newFixture()
 		f.warm()
-		f.table.StateChanges(f.now)
+		f.table.ReclassifyAll(f.now)
 		c.observe(f)
-		change, changed := f.table.StateChanged(f.now, "a")
+		change, changed := f.table.Reclassify(f.now, "a")
 		if change.Is != c.want || changed != (c.want != Usable) {
 			t.Errorf("%s: %v (changed %v, slowness %.1f, failures %.2f), want %v", c.name, change.Is, changed, change.Slowness, change.Failures, c.want)
 		}
@@ -43,7 +43,7 @@
 		}
 		f.table.Unsent(f.replicas[0], 1e6)
 		f.now = f.now.Add(10 * time.Second)
-		if changes := f.table.StateChanges(f.now); changed && (len(changes) != 1 || changes[0].Is != Usable || changes[0].Was != c.want) {
+		if changes := f.table.ReclassifyAll(f.now); changed && (len(changes) != 1 || changes[0].Is != Usable || changes[0].Was != c.want) {
 			t.Errorf("%s: ten seconds later: %+v", c.name, changes)
 		}
 	}
@@ -58,11 +58,11 @@
 		want  State
 	}{{2.2, Slow}, {1.8, Slow}, {1.4, Usable}, {1.8, Usable}, {2.1, Slow}} {
 		u.latencyRatio = c.ratio
-		if change, _ := table.StateChanged(start, "a"); change.Is != c.want {
+		if change, _ := table.Reclassify(start, "a"); change.Is != c.want {
 			t.Errorf("slowness %v: %v, want %v", c.ratio, change.Is, c.want)
 		}
 	}
-	if _, known := table.StateChanged(start, "other"); known {
+	if _, known := table.Reclassify(start, "other"); known {
 		t.Error("a state change of an unknown upstream")
 	}
 }
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -82,21 +82,21 @@
 	b.share = share
 }
 
-// Request adds the ratio for one request of a caller.
-func (b *Budget) Request() { b.tokens += b.limit.Ratio }
+// AddRequest adds the ratio for one request of a caller.
+func (b *Budget) AddRequest() { b.tokens += b.limit.Ratio }
 
 // Spend takes one extra send from the budget. It returns false if the budget is exhausted.
 func (b *Budget) Spend(now time.Time, kind Kind) bool {
-	if b.Left(now, kind) < 1 {
+	if b.Remaining(now, kind) < 1 {
 		return false
 	}
 	b.tokens--
 	return true
 }
 
-// Left returns the number of extra sends of a kind that may be made now; it is negative for
+// Remaining returns the number of extra sends of a kind that may be made now; it is negative for
 // a hedge if the bucket holds less than the reserve for retries.
-func (b *Budget) Left(now time.Time, kind Kind) float64 {
+func (b *Budget) Remaining(now time.Time, kind Kind) float64 {
 	b.refill(now)
 	if kind == Hedge {
 		return b.tokens - retryReserve*(b.capacity()-minBurst)
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -71,7 +71,7 @@
 				budgets[j].SetShare(now, shares[j])
 			case 1, 2:
 				for range rapid.IntRange(1, 60).Draw(t, "requests") {
-					budgets[i].Request()
+					budgets[i].AddRequest()
 					events = append(events, event{at: now})
 				}
 			default:
@@ -95,16 +95,16 @@
 		t.Error("an extra send from an empty bucket")
 	}
 	for range 5 {
-		b.Request()
+		b.AddRequest()
 	}
 	if !b.Spend(start, Retry) || b.Spend(start, Retry) {
 		t.Error("want one extra send for five requests at a ratio of a fifth")
 	}
 	for range 10_000 {
-		b.Request()
+		b.AddRequest()
 	}
 	b.SetShare(start, 0.1)
-	if left := b.Left(start, Retry); left != 3 {
+	if left := b.Remaining(start, Retry); left != 3 {
 		t.Errorf("%v left with a tenth of the allowance of 60, want half of that", left)
 	}
 }
@@ -112,7 +112,7 @@
 func TestHedgesLeaveReserveForRetries(t *testing.T) {
 	b := New(limit, 1, start)
 	for range 1000 {
-		b.Request()
+		b.AddRequest()
 	}
 	hedges, retries := 0, 0
 	for b.Spend(start, Hedge) {
@@ -130,7 +130,7 @@
 func TestBucketHoldsOneWithoutAllowance(t *testing.T) {
 	b := New(Limit{Ratio: 0.5}, 1, start)
 	for range 10 {
-		b.Request()
+		b.AddRequest()
 	}
 	if !b.Spend(start, Hedge) || b.Spend(start, Retry) {
 		t.Error("want one extra send and no more")
@@ -144,7 +144,7 @@
 func TestBucketFillsBeforeFirstUse(t *testing.T) {
 	b := New(limit, 0.5, start)
 	now := start.Add(20 * time.Second)
-	if left := b.Left(now, Retry); left != 15 {
+	if left := b.Remaining(now, Retry); left != 15 {
 		t.Errorf("%v left of a bucket of 15 after 20 s", left)
 	}
 	if !b.Full(now) || !b.Spend(now, Retry) || b.Full(now) {
@@ -159,10 +159,10 @@
 	b := New(limit, 0.01, start)
 	now := start.Add(time.Minute)
 	b.SetShare(now, 0.5)
-	if left := b.Left(now, Retry); left > minBurst {
+	if left := b.Remaining(now, Retry); left > minBurst {
 		t.Errorf("%v left at once", left)
 	}
-	if left := b.Left(now.Add(5*time.Second), Retry); left < 7 || left > 9 {
+	if left := b.Remaining(now.Add(5*time.Second), Retry); left < 7 || left > 9 {
 		t.Errorf("%v left after half a window, want about a quarter of the share of 30 more", left)
 	}
 }
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -80,7 +80,7 @@
 	// now and sends are the time of the current step and the sends it makes.
 	now     time.Time
 	sends   []Send
-	outcome *Verdict
+	outcome *Outcome
 }
 
 // New returns a query that has sent nothing.
@@ -168,7 +168,7 @@
 
 // Next returns when Tick must be called next.
 func (q *Query) Next() time.Time {
-	next := q.plan.GiveUp
+	next := q.plan.Deadline
 	if q.hasMinimum() {
 		next = earlier(next, q.partialAnswerAt())
 	}
@@ -183,8 +183,8 @@
 	return next
 }
 
-// Verdict returns how the request ended, nil while it is in progress.
-func (q *Query) Verdict() *Verdict { return q.outcome }
+// Outcome returns how the request ended, nil while it is in progress.
+func (q *Query) Outcome() *Outcome { return q.outcome }
 
 func (q *Query) beginStep(now time.Time) {
 	q.now = now
@@ -223,7 +223,7 @@
 		p.refused++
 	case NoConnection:
 		p.refused++
-	case Shut:
+	case ConnectionClosed:
 		p.refused++
 		p.shut++
 	}
@@ -236,7 +236,7 @@
 		return AfterUnreached
 	case Refused:
 		return AfterRefusal
-	case Shut, NoConnection:
+	case ConnectionClosed, NoConnection:
 		return AfterFull
 	case Barred:
 		return AfterBarred
@@ -263,7 +263,7 @@
 	if q.mayRunAgain(p) && p.refused > 0 && p.refused < maxRefusals {
 		p.retryAt = q.now.Add(refusalBackoff << (p.refused - 1))
 		p.retryCause = cause
-		if p.retryAt.Before(q.plan.GiveUp) {
+		if p.retryAt.Before(q.plan.Deadline) {
 			return
 		}
 	}
@@ -332,7 +332,7 @@
 		p.hedgeAt = q.now.Add(hedgeRetryInterval)
 		return
 	}
-	if !q.mayRunAgain(p) || q.plan.GiveUp.Sub(q.now) < minRemaining {
+	if !q.mayRunAgain(p) || q.plan.Deadline.Sub(q.now) < minRemaining {
 		return
 	}
 	u := q.policy.Choose(i, p.tried)
@@ -377,7 +377,7 @@
 		q.finish(None)
 	case len(q.parts)-q.failed < q.plan.MinParts:
 		q.finish(q.failureReason())
-	case !q.now.Before(q.plan.GiveUp):
+	case !q.now.Before(q.plan.Deadline):
 		q.finish(TimedOut)
 	}
 }
@@ -402,7 +402,7 @@
 		q.attempts[s.Attempt].ended = true
 		q.attempts[s.Attempt].result = Unreached
 	}
-	v := &Verdict{Reason: r, NotRun: q.notRun(), Failure: -1, Parts: make([]int, len(q.parts))}
+	v := &Outcome{Reason: r, NotRun: q.notRun(), Failure: -1, Parts: make([]int, len(q.parts))}
 	for i := range q.parts {
 		v.Parts[i] = q.parts[i].answer
 		v.Failure = max(v.Failure, q.parts[i].failure)
--- a/internal/scatter/scatter_test.go
+++ b/internal/scatter/scatter_test.go
@@ -55,7 +55,7 @@
 		Attempts:   2,
 		MinParts:   minParts,
 		AnswerBy:   at(200 * ms),
-		GiveUp:     at(time.Second),
+		Deadline:   at(time.Second),
 	}
 }
 
@@ -86,7 +86,7 @@
 			}
 		}
 	}
-	if v := q.Verdict(); v != nil {
+	if v := q.Outcome(); v != nil {
 		out = append(out, fmt.Sprintf("end:%s:notrun=%v:%v", v.Reason, v.NotRun, v.Parts))
 	}
 	return strings.Join(out, " ")
@@ -191,7 +191,7 @@
 	if sends := q.Start(start); len(sends) != 0 {
 		t.Errorf("%d sends", len(sends))
 	}
-	if v := q.Verdict(); v == nil || v.Reason != NoUpstream || !v.NotRun {
+	if v := q.Outcome(); v == nil || v.Reason != NoUpstream || !v.NotRun {
 		t.Errorf("outcome %+v", v)
 	}
 	q = New(plan(3, 2), &unreachablePolicy{policy{2, 9, 0}})
@@ -218,7 +218,7 @@
 	if sends := q.Start(start); len(sends) != 0 {
 		t.Errorf("%d sends of a request that has ended", len(sends))
 	}
-	if v := q.Verdict(); v == nil || !v.NotRun || v.Reason != NoUpstream {
+	if v := q.Outcome(); v == nil || !v.NotRun || v.Reason != NoUpstream {
 		t.Errorf("outcome %+v", v)
 	}
 }
@@ -250,7 +250,7 @@
 		}
 		now := start
 		record(q.Start(now))
-		for q.Verdict() == nil {
+		for q.Outcome() == nil {
 			if len(open) == 0 || rapid.IntRange(0, 3).Draw(t, "wait") == 0 {
 				now = now.Add(30 * ms)
 				record(q.Tick(now))
@@ -308,7 +308,7 @@
 		now := start
 		record(q.Start(now))
 		for range 200 {
-			if q.Verdict() != nil {
+			if q.Outcome() != nil {
 				break
 			}
 			if len(open) > 0 && rapid.Bool().Draw(t, "reply") {
@@ -330,9 +330,9 @@
 			}
 			record(q.Tick(now))
 		}
-		v := q.Verdict()
+		v := q.Outcome()
 		if v == nil {
-			if now.Before(p.GiveUp) {
+			if now.Before(p.Deadline) {
 				return
 			}
 			t.Fatal("not ended at its deadline")
--- a/internal/scatter/types.go
+++ b/internal/scatter/types.go
@@ -27,10 +27,10 @@
 	Broken
 	// Expired: the request was not sent, because no time was left.
 	Expired
-	// Shut: the request was written to a connection that the upstream closed as soon as it
+	// ConnectionClosed: the request was written to a connection that the upstream closed as soon as it
 	// was open, too soon to have run anything: the upstream accepts no more connections. That
 	// is no proof, so a request that may run only once is not sent again.
-	Shut
+	ConnectionClosed
 	// NoConnection: the request did not leave this VM, because the VM may open no more
 	// connections to the upstream and none became free.
 	NoConnection
@@ -88,8 +88,8 @@
 	MinParts int
 	// AnswerBy is when an answer must leave to meet the route's objective.
 	AnswerBy time.Time
-	// GiveUp is the request's deadline, set by the caller or the route's timeout.
-	GiveUp time.Time
+	// Deadline is the request's deadline, set by the caller or the route's timeout.
+	Deadline time.Time
 	// Trial is set if upstreams have crashed while running the same request before: it is
 	// sent to one upstream alone, and to others only after that one has survived it.
 	Trial bool
@@ -135,8 +135,8 @@
 	Cause    Cause
 }
 
-// Verdict is how a request ended.
-type Verdict struct {
+// Outcome is how a request ended.
+type Outcome struct {
 	// Reason is None if there is an answer.
 	Reason Reason
 	// NotRun is set if no upstream has run any part or will.
