--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -99,17 +99,17 @@
 	state := c.state(KindOf(k))
 	state.arrivals.count++
 	if need, ok := state.deadlineTooShort(now, k, budget); ok {
-		return refusal.New(refusal.DeadlineTooShort, "answers of this kind lately took at least "+need.String()).After(need)
+		return refusal.New(refusal.DeadlineTooShort, "answers of this kind lately took at least "+need.String()).WithRetryAfter(need)
 	}
 	if state.running >= state.bucket.share.At(now).Concurrency {
 		state.slotRefusals++
-		return refusal.New(refusal.ConcurrencyLimit, "too many requests of this kind are running").After(state.expectedSlotWait(k))
+		return refusal.New(refusal.ConcurrencyLimit, "too many requests of this kind are running").WithRetryAfter(state.expectedSlotWait(k))
 	}
 	if !c.capacity.admits(k.Customer, k.Priority) {
-		return refusal.New(refusal.Overloaded, "this VM has no room for another query of this customer").After(overloadRetryAfter)
+		return refusal.New(refusal.Overloaded, "this VM has no room for another query of this customer").WithRetryAfter(overloadRetryAfter)
 	}
 	if wait, ok := state.bucket.take(now); !ok {
-		return refusal.New(refusal.RateLimit, "the contracted rate of this kind is used up").After(max(wait, minRetryAfter))
+		return refusal.New(refusal.RateLimit, "the contracted rate of this kind is used up").WithRetryAfter(max(wait, minRetryAfter))
 	}
 	state.running++
 	state.peakRunning = max(state.peakRunning, state.running)
--- a/internal/balance/vm.go
+++ b/internal/balance/vm.go
@@ -112,18 +112,18 @@
 // ended takes a query off those under way.
 func (v *vm) ended(q *query) {
 	now := v.model.clock.Now()
-	o := congestion.Outcome{Shards: len(v.model.services), NoRoom: q.crowdedParts(), Late: now.Sub(q.began) > q.kind.Objective}
+	o := congestion.Outcome{Shards: len(v.model.services), RefusedShards: q.crowdedParts(), Late: now.Sub(q.began) > q.kind.Objective}
 	switch v.model.opts.Ways.Limit {
 	case NoLimit:
 		return
 	case ByManyFullParts:
 		o.Late = false
 	case ByClosedWindows:
-		o.NoRoom = q.heldUpParts()
+		o.RefusedShards = q.heldUpParts()
 	case ByLateAnswers:
-		o.NoRoom = 0
+		o.RefusedShards = 0
 		if o.Late {
-			o.NoRoom = o.Shards / 2
+			o.RefusedShards = o.Shards / 2
 		}
 	}
 	v.limiter.Done(now, q.began, o)
--- a/internal/callerapi/callerapi.go
+++ b/internal/callerapi/callerapi.go
@@ -177,9 +177,9 @@
 	case errors.As(err, &small):
 		return refusal.New(refusal.HeaderTooLarge, "the headers are longer than "+strconv.Itoa(int(s.opts.Limits.MaxHeaderBytes))+" bytes")
 	case errors.As(err, &timeout) && timeout.Timeout():
-		return refusal.New(refusal.RequestTimeout, "the request did not come whole within "+s.opts.ReadTimeout.String()).Unproven()
+		return refusal.New(refusal.RequestTimeout, "the request did not come whole within "+s.opts.ReadTimeout.String()).WithUnproven()
 	default:
-		return refusal.New(refusal.BadRequest, "the request could not be read: "+err.Error()).Unproven()
+		return refusal.New(refusal.BadRequest, "the request could not be read: "+err.Error()).WithUnproven()
 	}
 }
 
@@ -268,7 +268,7 @@
 // authenticate returns the customer of the request's token, or refuses the request.
 func (s *Server) authenticate(ctx *fasthttp.RequestCtx) (*contract.Customer, bool) {
 	if why := s.opts.Backend.NotReady(); why != "" && !s.opts.Backend.Stopping() {
-		s.refuse(ctx, refusal.New(refusal.NotReady, why).After(time.Second))
+		s.refuse(ctx, refusal.New(refusal.NotReady, why).WithRetryAfter(time.Second))
 		return nil, false
 	}
 	token, ok := strings.CutPrefix(string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization)), "Bearer ")
@@ -291,7 +291,7 @@
 	if _, err := once.ParseKey(operation); err != nil {
 		operation = ""
 	} else {
-		e = e.Unproven()
+		e = e.WithUnproven()
 	}
 	s.opts.Frontend.CountRefusal(e)
 	writeReply(ctx, frontend.Refused(&frontend.Failure{Error: e, Operation: operation}))
--- a/internal/congestion/congestion.go
+++ b/internal/congestion/congestion.go
@@ -120,16 +120,16 @@
 // Outcome describes how a query ended.
 type Outcome struct {
 	Shards int
-	// NoRoom is the number of shards that were refused at least once for lack of capacity.
-	NoRoom int
+	// RefusedShards is the number of shards that were refused at least once for lack of capacity.
+	RefusedShards int
 	// Late reports whether the query ended after its objective.
 	Late bool
 }
 
 // congestedShare returns the share of shards that counts as refused for lack of capacity.
 func (o *Outcome) congestedShare(p *Policy) float64 {
-	share := float64(o.NoRoom) / float64(o.Shards)
-	if o.Late && o.NoRoom > 0 {
+	share := float64(o.RefusedShards) / float64(o.Shards)
+	if o.Late && o.RefusedShards > 0 {
 		return max(share, p.CongestedShare)
 	}
 	return share
--- a/internal/congestion/congestion_test.go
+++ b/internal/congestion/congestion_test.go
@@ -32,7 +32,7 @@
 func TestCongestionLowersLimit(t *testing.T) {
 	g := NewWithT(t)
 	l := newLimiterRunning(20)
-	l.Done(epoch.Add(time.Second), epoch, Outcome{Shards: shards, NoRoom: refusedShards})
+	l.Done(epoch.Add(time.Second), epoch, Outcome{Shards: shards, RefusedShards: refusedShards})
 	g.Expect(l.Limit()).To(BeNumerically("~", 15))
 	g.Expect(l.Start(pb.Priority_HIGH)).To(BeFalse())
 }
@@ -43,7 +43,7 @@
 	g := NewWithT(t)
 	l := newLimiterRunning(20)
 	for i := range 20 {
-		l.Done(epoch.Add(time.Second+time.Duration(i)), epoch, Outcome{Shards: shards, NoRoom: refusedShards})
+		l.Done(epoch.Add(time.Second+time.Duration(i)), epoch, Outcome{Shards: shards, RefusedShards: refusedShards})
 	}
 	g.Expect(l.Limit()).To(BeNumerically("~", 15))
 }
@@ -53,8 +53,8 @@
 func TestOneLostShardIsNotCongestion(t *testing.T) {
 	g := NewWithT(t)
 	l := newLimiterRunning(20)
-	l.Done(epoch.Add(time.Second), epoch, Outcome{Shards: shards, NoRoom: 1})
-	l.Done(epoch.Add(time.Second), epoch, Outcome{Shards: 1, NoRoom: 1})
+	l.Done(epoch.Add(time.Second), epoch, Outcome{Shards: shards, RefusedShards: 1})
+	l.Done(epoch.Add(time.Second), epoch, Outcome{Shards: 1, RefusedShards: 1})
 	g.Expect(l.Limit()).To(Equal(DefaultPolicy().InitialLimit))
 }
 
@@ -96,7 +96,7 @@
 func TestLimitGrowsWhileInUse(t *testing.T) {
 	g := NewWithT(t)
 	l := newLimiterRunning(10)
-	l.Done(epoch.Add(time.Second), epoch, Outcome{Shards: shards, NoRoom: refusedShards})
+	l.Done(epoch.Add(time.Second), epoch, Outcome{Shards: shards, RefusedShards: refusedShards})
 	low := l.Limit()
 	for range 100 {
 		l.Start(pb.Priority_HIGH)
@@ -122,7 +122,7 @@
 func TestLowPrioritiesAreRefusedFirst(t *testing.T) {
 	g := NewWithT(t)
 	l := newLimiterRunning(20)
-	l.Done(epoch.Add(time.Second), epoch, Outcome{Shards: shards, NoRoom: refusedShards})
+	l.Done(epoch.Add(time.Second), epoch, Outcome{Shards: shards, RefusedShards: refusedShards})
 	for range 7 {
 		l.Abandon()
 	}
@@ -149,7 +149,7 @@
 				}
 				running--
 				now = now.Add(time.Duration(rapid.IntRange(0, 1000).Draw(t, "ms")) * time.Millisecond)
-				l.Done(now, now.Add(-time.Second), Outcome{Shards: shards, NoRoom: rapid.IntRange(0, shards).Draw(t, "refused shards"), Late: rapid.Bool().Draw(t, "late")})
+				l.Done(now, now.Add(-time.Second), Outcome{Shards: shards, RefusedShards: rapid.IntRange(0, shards).Draw(t, "refused shards"), Late: rapid.Bool().Draw(t, "late")})
 			},
 			"": func(t *rapid.T) {
 				if l.Limit() < DefaultPolicy().MinLimit || l.running != running {
--- a/internal/daemon/forward.go
+++ b/internal/daemon/forward.go
@@ -231,7 +231,7 @@
 // leaves open whether the operation ran, because an earlier copy may have.
 func refuseForward(r *pb.Forward, why string) *frontend.Reply {
 	e := &refusal.Error{Reason: refusal.OperationAway, Ran: refusal.Unknown, Detail: why + "; this copy was not run, send the same key again"}
-	return frontend.Refused(&frontend.Failure{Error: e.After(time.Second), Operation: r.Operation})
+	return frontend.Refused(&frontend.Failure{Error: e.WithRetryAfter(time.Second), Operation: r.Operation})
 }
 
 // replyForward sends the reply to a forward to the peer.
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -39,7 +39,7 @@
 			Revalidate:  d.revalidate,
 			Revalidated: d.revalidated,
 			Superseded:  d.superseded,
-			Quarantine:  d.poison.Heard,
+			Quarantine:  d.poison.HandleEntries,
 			Heard:       func(a gossip.Announcement) { d.noteRevision(a.From.PeerAddress, a.Revision) },
 		},
 	})
--- a/internal/daemon/shares.go
+++ b/internal/daemon/shares.go
@@ -209,7 +209,7 @@
 // Admit admits a request, or returns the refusal if it may not start.
 func (s *shares) Admit(k *contract.Kind, budget time.Duration) *refusal.Error {
 	if !s.home(k.Customer).Contains(s.d.settings.Vm) {
-		return refusal.New(refusal.WrongVM, "this VM does not serve the customer; ask for endpoints").After(wrongVMRetryAfter)
+		return refusal.New(refusal.WrongVM, "this VM does not serve the customer; ask for endpoints").WithRetryAfter(wrongVMRetryAfter)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/edge/admit.go
+++ b/internal/edge/admit.go
@@ -48,7 +48,7 @@
 	}
 	now := e.now()
 	l.Done(now, r.Received, congestion.Outcome{
-		Shards: len(r.Route.Shards), NoRoom: a.CongestedParts, Late: now.Sub(r.Received) > objective(r.Route),
+		Shards: len(r.Route.Shards), RefusedShards: a.CongestedParts, Late: now.Sub(r.Received) > objective(r.Route),
 	})
 }
 
--- a/internal/edge/observe_test.go
+++ b/internal/edge/observe_test.go
@@ -106,7 +106,7 @@
 			e.configure()
 			for i := range uint32(4) {
 				sent := time.Now().Add(time.Duration(i) * time.Second)
-				e.poison.Crashed(sent, request("/q/").subject(), quarantine.Crash{Start: i, SentAt: sent, EndedAt: sent.Add(time.Millisecond)})
+				e.poison.Crashed(sent, request("/q/").subject(), quarantine.Crash{Instance: i, SentAt: sent, EndedAt: sent.Add(time.Millisecond)})
 			}
 			return e.Serve(request("/q/"))
 		}},
--- a/internal/edge/poison.go
+++ b/internal/edge/poison.go
@@ -26,8 +26,8 @@
 }
 
 // subject returns the request in the form that the poison guard takes.
-func (r *Request) subject() poison.Subject {
-	return poison.Subject{Content: r.contentFingerprint(), Fields: []zap.Field{
+func (r *Request) subject() poison.Request {
+	return poison.Request{Content: r.contentFingerprint(), Fields: []zap.Field{
 		zap.String("request", r.Message.ID), zap.String("host", r.Host), zap.String("path", r.Path),
 	}}
 }
@@ -61,13 +61,13 @@
 		x.connectionBroken = true
 		// Computed here because the check ends in another goroutine.
 		subject := x.req.subject()
-		crash := quarantine.Crash{Start: instanceHash(s.call.Upstream), SentAt: s.sentAt, EndedAt: now}
+		crash := quarantine.Crash{Instance: instanceHash(s.call.Upstream), SentAt: s.sentAt, EndedAt: now}
 		e.checkEnded(s.call.Upstream, func(ended bool) { x.crashChecked(ended, subject, crash) })
 	}
 }
 
 // crashChecked records a crash if the upstream that closed its connection has ended.
-func (x *run) crashChecked(ended bool, subject poison.Subject, crash quarantine.Crash) {
+func (x *run) crashChecked(ended bool, subject poison.Request, crash quarantine.Crash) {
 	if !ended || x.survived.Load() {
 		return
 	}
--- a/internal/edge/poison_test.go
+++ b/internal/edge/poison_test.go
@@ -132,17 +132,17 @@
 	h.SetRequestURI(path)
 	r := &Request{Host: "h", Path: path, Received: c.clock.Now(), Deadline: simDeadline, Message: &direct.Message{ID: fmt.Sprint(path, "#", attempt, "@", c.arrivals), Header: h}}
 	r.Route = v.view.Table.Lookup("h", path)
-	w := quarantine.Wait(c.clock.Now(), c.rand.Float64())
+	w := quarantine.NewTrialWait(c.clock.Now(), c.rand.Float64())
 	v.admit(r, &w, done)
 }
 
 // admit does in virtual time what Engine.serve does.
-func (v *simVM) admit(r *Request, w *quarantine.Waiting, done func(a Answer)) {
+func (v *simVM) admit(r *Request, w *quarantine.TrialWait, done func(a Answer)) {
 	c := v.fleet
-	a := v.engine.poison.Step(c.clock.Now(), r.contentFingerprint(), w)
+	a := v.engine.poison.TryAdmit(c.clock.Now(), r.contentFingerprint(), w)
 	switch {
-	case !a.Again.IsZero():
-		c.clock.At(a.Again, func() { v.admit(r, w, done) })
+	case !a.RetryAt.IsZero():
+		c.clock.At(a.RetryAt, func() { v.admit(r, w, done) })
 		return
 	case a.Standing == quarantine.Blocked:
 		done(refuse(PoisonRequest, a.Until.Sub(c.clock.Now())))
@@ -235,7 +235,7 @@
 // gossip sends new quarantine entries to the other VMs, as package node does.
 func (v *simVM) gossip() {
 	c := v.fleet
-	entries, _ := v.engine.poison.News(c.clock.Now())
+	entries, _ := v.engine.poison.TakePending(c.clock.Now())
 	v.gossipTo(entries, c.vms)
 }
 
@@ -250,7 +250,7 @@
 		}
 		c.clock.At(c.clock.Now().Add(gossipDelay), func() {
 			if !peer.isolated {
-				peer.engine.poison.Learn(c.clock.Now(), "peer", entries, 0)
+				peer.engine.poison.Merge(c.clock.Now(), "peer", entries, 0)
 			}
 		})
 	}
@@ -265,7 +265,7 @@
 				v.engine.poison.Expire(c.clock.Now())
 				v.gossip()
 				peers := []*simVM{c.vms[c.rand.IntN(len(c.vms))], c.vms[c.rand.IntN(len(c.vms))]}
-				v.gossipTo(v.engine.poison.Repeat(c.clock.Now()), peers)
+				v.gossipTo(v.engine.poison.NextRepeats(c.clock.Now()), peers)
 			}
 		})
 	}
@@ -346,8 +346,8 @@
 			c.clock.At(c.start.Add(10*s), func() { c.vms[1].isolated, c.vms[1].connectedSince = false, c.clock.Now() })
 			c.clock.At(c.start.Add(9*s), func() {
 				late := c.newVM(seed + 77)
-				for _, e := range c.vms[0].engine.poison.All(c.clock.Now(), 100) {
-					late.engine.poison.Learn(c.clock.Now(), "seed", []quarantine.Entry{e}, 0)
+				for _, e := range c.vms[0].engine.poison.Snapshot(c.clock.Now(), 100) {
+					late.engine.poison.Merge(c.clock.Now(), "seed", []quarantine.Entry{e}, 0)
 				}
 				c.vms = append(c.vms, late)
 			})
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -174,7 +174,7 @@
 	f.mu.Lock()
 	if f.stopping {
 		f.mu.Unlock()
-		return refusal.New(refusal.Stopping, "this VM is stopping; ask for endpoints again").After(time.Second)
+		return refusal.New(refusal.Stopping, "this VM is stopping; ask for endpoints again").WithRetryAfter(time.Second)
 	}
 	f.running.Add(1)
 	f.mu.Unlock()
@@ -202,7 +202,7 @@
 
 func (x *execution) run(ctx context.Context) (answer *Answer, failure *Failure) {
 	if x.kind.Service == nil {
-		return nil, x.fail(refusal.New(refusal.UnknownService, "service "+x.kind.Kind.Service+" is not defined").After(time.Minute))
+		return nil, x.fail(refusal.New(refusal.UnknownService, "service "+x.kind.Kind.Service+" is not defined").WithRetryAfter(time.Minute))
 	}
 	params, err := readParameters(x.req.Body)
 	if err != nil {
@@ -240,7 +240,7 @@
 func (x *execution) plan(p parameters) (*query.Plan, *refusal.Error) {
 	shards, snapshot, ok := x.front.opts.Pinner.Pin(x.started, x.kind.Service)
 	if !ok {
-		return nil, refusal.New(refusal.NoSnapshot, "no snapshot of the service is ready").After(time.Second)
+		return nil, refusal.New(refusal.NoSnapshot, "no snapshot of the service is ready").WithRetryAfter(time.Second)
 	}
 	if x.kind.Merge == pb.Merge_SINGLE && p.Key == "" {
 		return nil, refusal.New(refusal.BadRequest, "body: key must name the document")
--- a/internal/frontend/operations.go
+++ b/internal/frontend/operations.go
@@ -264,7 +264,7 @@
 	case <-ctx.Done():
 	}
 	e := &refusal.Error{Reason: refusal.OperationRunning, Ran: refusal.Unknown, Detail: "the first copy of the request is under way; send the same key again"}
-	return o.refuse(req, e.After(retryDelay))
+	return o.refuse(req, e.WithRetryAfter(retryDelay))
 }
 
 // forward sends the request to the VM named by its key. It never runs the request
@@ -280,12 +280,12 @@
 		return reply
 	case FateNotSent:
 		e := &refusal.Error{Reason: refusal.OperationAway, Ran: refusal.Unknown, Detail: "the VM that the key names cannot be reached from here; this copy was not run, send the same key again"}
-		return o.refuse(req, e.After(retryDelay))
+		return o.refuse(req, e.WithRetryAfter(retryDelay))
 	case FateGone:
 		return o.refuse(req, errGone())
 	default:
 		e := &refusal.Error{Reason: refusal.OutcomeUnknown, Ran: refusal.Unknown, Detail: "the VM that the key names took the request and did not answer; send the same key to learn the outcome"}
-		return o.refuse(req, e.After(retryDelay))
+		return o.refuse(req, e.WithRetryAfter(retryDelay))
 	}
 }
 
@@ -302,7 +302,7 @@
 
 // errFull refuses an operation that exceeds the customer's operation limit.
 func errFull() *refusal.Error {
-	return refusal.New(refusal.Overloaded, "this VM can remember no more operations of the customer; the key is used up, use another").After(retryDelay)
+	return refusal.New(refusal.Overloaded, "this VM can remember no more operations of the customer; the key is used up, use another").WithRetryAfter(retryDelay)
 }
 
 // verdictError returns the refusal for a verdict that rejects the key.
--- a/internal/frontend/scatter.go
+++ b/internal/frontend/scatter.go
@@ -28,7 +28,7 @@
 	if l.Start(k.Priority) {
 		return nil
 	}
-	return refusal.New(refusal.Overloaded, "the upstreams of "+k.Service.Name+" have no room for another query").After(max(minOverloadRetry, k.Deadline()/2))
+	return refusal.New(refusal.Overloaded, "the upstreams of "+k.Service.Name+" have no room for another query").WithRetryAfter(max(minOverloadRetry, k.Deadline()/2))
 }
 
 // endScatter reports the outcome of a query to the service's limiter; o is nil if
@@ -45,7 +45,7 @@
 		l.Abandon()
 		return
 	}
-	l.Done(now, started, congestion.Outcome{Shards: len(o.Shards), NoRoom: saturatedShards(o)})
+	l.Done(now, started, congestion.Outcome{Shards: len(o.Shards), RefusedShards: saturatedShards(o)})
 }
 
 // saturatedShards counts the shards that refused at least one sub-request for lack
--- a/internal/frontend/witness.go
+++ b/internal/frontend/witness.go
@@ -23,7 +23,7 @@
 // It implements query.Witness.
 type witness struct {
 	guard   *poison.Guard
-	subject func() poison.Subject
+	subject func() poison.Request
 	// trial is set if the request is suspected of crashing upstreams.
 	trial bool
 	// ended is set if an upstream ended while running the request, survived if one
@@ -41,9 +41,9 @@
 	now := x.front.opts.Now
 	switch a := out.guard.Admit(now, rand.Float64, x.subject()); {
 	case a.Standing == quarantine.Blocked:
-		return nil, refusal.New(refusal.PoisonRequest, "upstreams crash under this request").After(a.Until.Sub(now()))
+		return nil, refusal.New(refusal.PoisonRequest, "upstreams crash under this request").WithRetryAfter(a.Until.Sub(now()))
 	case a.Held:
-		return nil, refusal.New(refusal.SuspectHeld, "upstreams ended under this request, and others are trying it").After(heldRetry)
+		return nil, refusal.New(refusal.SuspectHeld, "upstreams ended under this request, and others are trying it").WithRetryAfter(heldRetry)
 	default:
 		out.trial = a.Standing == quarantine.Suspect
 		return out, nil
@@ -51,8 +51,8 @@
 }
 
 // subject describes the request to the guard.
-func (x *execution) subject() poison.Subject {
-	return poison.Subject{
+func (x *execution) subject() poison.Request {
+	return poison.Request{
 		Content: fingerprint.Of("query", x.kind.Customer, x.kind.Name, x.req.Body),
 		Fields:  []zap.Field{zap.String("request", x.id), zap.String("customer", x.kind.Customer), zap.String("kind", x.kind.Name)},
 	}
@@ -64,7 +64,7 @@
 	if w.survived.Load() {
 		return
 	}
-	w.guard.Crashed(endedAt, w.subject(), quarantine.Crash{Start: upstreamHash(u), SentAt: sentAt, EndedAt: endedAt})
+	w.guard.Crashed(endedAt, w.subject(), quarantine.Crash{Instance: upstreamHash(u), SentAt: sentAt, EndedAt: endedAt})
 }
 
 // Survived implements query.Witness.
--- a/internal/node/join.go
+++ b/internal/node/join.go
@@ -162,7 +162,7 @@
 		return 0
 	}
 	s.learnMembers(page.Members)
-	s.poison.Heard(address, page.Quarantine)
+	s.poison.HandleEntries(address, page.Quarantine)
 	for _, m := range page.Members {
 		if m.PeerAddress == address && page.Revision > 0 {
 			s.onPeerPosition(m, catalog.Position{Era: page.Era, Revision: page.Revision}, follow.Unconfirmed)
@@ -230,7 +230,7 @@
 // quarantineEntries returns up to maxQuarantineEntries entries on requests that crash
 // upstreams.
 func (s *catalogSyncer) quarantineEntries() []*pb.QuarantineEntry {
-	return quarantine.Encode(s.poison.All(time.Now(), maxQuarantineEntries))
+	return quarantine.Encode(s.poison.Snapshot(time.Now(), maxQuarantineEntries))
 }
 
 // memberListCache caches the packed member list. Its lock is held while a list is
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -255,7 +255,7 @@
 		Callbacks: gossip.Callbacks{
 			View:        d.applyMembers,
 			Heard:       d.syncer.onAnnouncement,
-			Quarantine:  d.engine.Poison().Heard,
+			Quarantine:  d.engine.Poison().HandleEntries,
 			Revalidate:  func() { d.log.Warn("gossip: this process was paused") },
 			Revalidated: func(alone bool) { d.log.Info("gossip: peers reachable again", zap.Bool("alone", alone)) },
 			Superseded:  func(uint64) {},
@@ -450,7 +450,7 @@
 // watchStrain measures the scheduling delay of this process and reduces the
 // published capacity while the process gets too little CPU time.
 func (d *Daemon) watchStrain(ctx context.Context) error {
-	t := time.NewTicker(strain.Every)
+	t := time.NewTicker(strain.Interval)
 	defer t.Stop()
 	var m strain.Meter
 	for {
@@ -459,7 +459,7 @@
 			return nil
 		case <-t.C:
 		}
-		changed := m.Woken(time.Now())
+		changed := m.Observe(time.Now())
 		d.engine.SetLag(m.Lag())
 		if changed {
 			d.strained.Store(m.Strained())
--- a/internal/poison/broadcast.go
+++ b/internal/poison/broadcast.go
@@ -40,7 +40,7 @@
 		case now := <-t.C:
 			g.Expire(now)
 			g.signal()
-			if entries := g.Repeat(now); len(entries) > 0 {
+			if entries := g.NextRepeats(now); len(entries) > 0 {
 				to.Broadcast(quarantine.Encode(entries), repeatFanout)
 			}
 		}
@@ -51,7 +51,7 @@
 func (g *Guard) broadcastPending(ctx context.Context, to Broadcaster) {
 	for more := true; more && ctx.Err() == nil; {
 		var entries []quarantine.Entry
-		entries, more = g.News(time.Now())
+		entries, more = g.TakePending(time.Now())
 		if len(entries) == 0 {
 			return
 		}
@@ -60,8 +60,8 @@
 	}
 }
 
-// Heard merges entries received from a peer. It drops and counts invalid ones.
-func (g *Guard) Heard(peer string, entries []*pb.QuarantineEntry) {
+// HandleEntries merges entries received from a peer. It drops and counts invalid ones.
+func (g *Guard) HandleEntries(peer string, entries []*pb.QuarantineEntry) {
 	good, dropped := quarantine.Decode(entries)
-	g.Learn(time.Now(), peer, good, dropped)
+	g.Merge(time.Now(), peer, good, dropped)
 }
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -1,6 +1,6 @@
 // Package poison runs a quarantine.Table for one VM. It guards the table with a lock, logs and
 // counts changes, makes attempts of suspects wait for their trial, and sends entries to peers.
-// All decisions are in package quarantine.
+// Snapshot decisions are in package quarantine.
 //
 // Lock order: Guard.mu is a leaf; no other lock is acquired while it is held.
 package poison
@@ -64,8 +64,8 @@
 	return &Guard{logs: logs, metrics: metrics, pending: make(chan struct{}, 1), table: quarantine.New()}
 }
 
-// Subject identifies a request to a Guard.
-type Subject struct {
+// Request identifies a request to a Guard.
+type Request struct {
 	Content fingerprint.Fingerprint
 	// Fields describe the request and the attempt in logs.
 	Fields []zap.Field
@@ -98,17 +98,17 @@
 // Admit decides how an attempt runs. An attempt of a suspect blocks until its trial may start
 // or its wait is over. draw returns a random number from 0 to 1, which delays the trial so that
 // VMs do not start trials at the same time.
-func (g *Guard) Admit(now func() time.Time, draw func() float64, s Subject) quarantine.Admission {
+func (g *Guard) Admit(now func() time.Time, draw func() float64, s Request) quarantine.Admission {
 	standing, until := g.standing(now(), s.Content)
 	if standing != quarantine.Suspect {
 		return quarantine.Admission{Standing: standing, Until: until}
 	}
-	w := quarantine.Wait(now(), draw())
-	a := g.Step(now(), s.Content, &w)
-	waited := !a.Again.IsZero()
-	for !a.Again.IsZero() {
-		time.Sleep(a.Again.Sub(now()))
-		a = g.Step(now(), s.Content, &w)
+	w := quarantine.NewTrialWait(now(), draw())
+	a := g.TryAdmit(now(), s.Content, &w)
+	waited := !a.RetryAt.IsZero()
+	for !a.RetryAt.IsZero() {
+		time.Sleep(a.RetryAt.Sub(now()))
+		a = g.TryAdmit(now(), s.Content, &w)
 	}
 	a.Waited = waited
 	if a.Standing == quarantine.Suspect && !a.Held {
@@ -119,15 +119,15 @@
 	return a
 }
 
-// Step makes one check of Admit without blocking.
-func (g *Guard) Step(now time.Time, content fingerprint.Fingerprint, w *quarantine.Waiting) quarantine.Admission {
+// TryAdmit makes one check of Admit without blocking.
+func (g *Guard) TryAdmit(now time.Time, content fingerprint.Fingerprint, w *quarantine.TrialWait) quarantine.Admission {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.Admit(now, content, w)
 }
 
 // Crashed records an upstream that ended while it ran a request.
-func (g *Guard) Crashed(now time.Time, s Subject, c quarantine.Crash) {
+func (g *Guard) Crashed(now time.Time, s Request, c quarantine.Crash) {
 	g.metrics.crashes.Inc()
 	var change quarantine.Transition
 	g.update(func(t *quarantine.Table) { change = t.Crashed(now, s.Content, c) })
@@ -135,7 +135,7 @@
 }
 
 // Survived records that an upstream has run a request without a crash.
-func (g *Guard) Survived(now time.Time, s Subject) {
+func (g *Guard) Survived(now time.Time, s Request) {
 	var change quarantine.Transition
 	g.update(func(t *quarantine.Table) { change = t.Survived(now, s.Content) })
 	g.report(change, s.Fields...)
@@ -150,8 +150,8 @@
 	g.signal()
 }
 
-// Learn merges the valid entries of a peer. dropped is the number of its invalid entries.
-func (g *Guard) Learn(now time.Time, peer string, entries []quarantine.Entry, dropped int) {
+// Merge merges the valid entries of a peer. dropped is the number of its invalid entries.
+func (g *Guard) Merge(now time.Time, peer string, entries []quarantine.Entry, dropped int) {
 	g.metrics.droppedEntries.Add(float64(dropped))
 	for _, e := range entries {
 		var change quarantine.Transition
@@ -169,24 +169,24 @@
 // Pending returns a channel that receives a value when entries wait to be sent to all peers.
 func (g *Guard) Pending() <-chan struct{} { return g.pending }
 
-// News returns a datagram's worth of entries to send to all peers now, marks them as sent, and
+// TakePending returns a datagram's worth of entries to send to all peers now, marks them as sent, and
 // reports whether more entries wait.
-func (g *Guard) News(now time.Time) (entries []quarantine.Entry, more bool) {
+func (g *Guard) TakePending(now time.Time) (entries []quarantine.Entry, more bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	entries = g.table.TakePending(now, quarantine.MaxDatagramEntries)
 	return entries, g.table.HasPending()
 }
 
-// Repeat returns the next datagram's worth of entries to re-send to some peers.
-func (g *Guard) Repeat(now time.Time) []quarantine.Entry {
+// NextRepeats returns the next datagram's worth of entries to re-send to some peers.
+func (g *Guard) NextRepeats(now time.Time) []quarantine.Entry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.NextRepeats(now, quarantine.MaxDatagramEntries)
 }
 
-// All returns up to limit entries for a VM that starts, the most severe first.
-func (g *Guard) All(now time.Time, limit int) []quarantine.Entry {
+// Snapshot returns up to limit entries for a VM that starts, the most severe first.
+func (g *Guard) Snapshot(now time.Time, limit int) []quarantine.Entry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.Snapshot(now, limit)
--- a/internal/poison/guard_test.go
+++ b/internal/poison/guard_test.go
@@ -18,14 +18,14 @@
 // testTimeout limits the waits of a test. A test that reaches it fails.
 const testTimeout = 10 * time.Second
 
-var subject = Subject{Content: fingerprint.Of("GET", "h", "/", nil)}
+var subject = Request{Content: fingerprint.Of("GET", "h", "/", nil)}
 
 func newGuard() *Guard { return New(logring.Nop(), NewMetrics(prometheus.NewRegistry())) }
 
 // crash records simultaneous crashes of several upstreams under subject.
 func (g *Guard) crash(now time.Time, upstreams uint32) {
 	for u := range upstreams {
-		g.Crashed(now, subject, quarantine.Crash{Start: u, SentAt: now.Add(-time.Second), EndedAt: now})
+		g.Crashed(now, subject, quarantine.Crash{Instance: u, SentAt: now.Add(-time.Second), EndedAt: now})
 	}
 }
 
@@ -65,8 +65,8 @@
 	if first.maxPeers != membership.All || len(first.entries) != 1 {
 		t.Errorf("first broadcast: %+v", first)
 	}
-	b.Heard("a", first.entries)
-	if got := b.Step(time.Now(), subject.Content, &quarantine.Waiting{}); got.Standing != quarantine.Suspect {
+	b.HandleEntries("a", first.entries)
+	if got := b.TryAdmit(time.Now(), subject.Content, &quarantine.TrialWait{}); got.Standing != quarantine.Suspect {
 		t.Errorf("the peer has standing %s", got.Standing)
 	}
 	if again := broadcasts.next(t); again.maxPeers != repeatFanout {
@@ -76,7 +76,7 @@
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	b.Heard("a", []*pb.QuarantineEntry{{}})
+	b.HandleEntries("a", []*pb.QuarantineEntry{{}})
 	if n := testutil.ToFloat64(b.metrics.droppedEntries); n != 1 {
 		t.Errorf("%v entries dropped", n)
 	}
--- a/internal/quarantine/admit.go
+++ b/internal/quarantine/admit.go
@@ -21,31 +21,31 @@
 	pollInterval = 10 * time.Millisecond
 )
 
-// Waiting is the state of an attempt that waits for its trial.
-type Waiting struct {
+// TrialWait is the state of an attempt that waits for its trial.
+type TrialWait struct {
 	// draw is the random delay as a fraction of trialSpread.
 	draw float64
 	// startAt is when the trial may start, giveUpAt when the attempt stops waiting.
 	startAt, giveUpAt time.Time
 }
 
-// Wait returns the state of an attempt that arrives now. draw, a random number from 0 to 1,
+// NewTrialWait returns the state of an attempt that arrives now. draw, a random number from 0 to 1,
 // determines the delay before its trial.
-func Wait(now time.Time, draw float64) Waiting {
-	w := Waiting{draw: draw, giveUpAt: now.Add(maxTrialWait)}
+func NewTrialWait(now time.Time, draw float64) TrialWait {
+	w := TrialWait{draw: draw, giveUpAt: now.Add(maxTrialWait)}
 	w.setStart(now)
 	return w
 }
 
-func (w *Waiting) setStart(from time.Time) {
+func (w *TrialWait) setStart(from time.Time) {
 	w.startAt = from.Add(time.Duration(w.draw * float64(trialSpread)))
 }
 
 // Admission is the decision on an attempt.
 type Admission struct {
 	Standing Standing
-	// Again is when to call Admit again; zero if the decision is final.
-	Again time.Time
+	// RetryAt is when to call Admit again; zero if the decision is final.
+	RetryAt time.Time
 	// Held reports that the attempt of a suspect is refused: other trials lasted until the end
 	// of its wait.
 	Held bool
@@ -57,7 +57,7 @@
 
 // Admit decides whether an attempt runs without restriction, runs as a trial, waits or is
 // refused. A trial starts with this call.
-func (t *Table) Admit(now time.Time, content fingerprint.Fingerprint, w *Waiting) Admission {
+func (t *Table) Admit(now time.Time, content fingerprint.Fingerprint, w *TrialWait) Admission {
 	standing, until := t.Standing(now, content)
 	a := Admission{Standing: standing, Until: until}
 	if standing != Suspect {
@@ -74,7 +74,7 @@
 		r.trialUntil = now.Add(trialTimeout)
 		r.announceTrial, r.pending = true, true
 	case now.Before(w.giveUpAt):
-		a.Again = now.Add(pollInterval)
+		a.RetryAt = now.Add(pollInterval)
 	default:
 		a.Held = true
 	}
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -14,7 +14,7 @@
 	for i := range maxRecords {
 		for u := range uint32(4) {
 			at := start.Add(time.Duration(u) * 2 * time.Second)
-			t.Crashed(at, content(i), Crash{Start: u, SentAt: at.Add(-30 * ms), EndedAt: at})
+			t.Crashed(at, content(i), Crash{Instance: u, SentAt: at.Add(-30 * ms), EndedAt: at})
 		}
 	}
 	now := start.Add(10 * time.Second)
@@ -33,6 +33,6 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		at := start.Add(time.Duration(i) * ms)
-		t.Crashed(at, content(i), Crash{Start: 1, SentAt: at.Add(-30 * ms), EndedAt: at})
+		t.Crashed(at, content(i), Crash{Instance: 1, SentAt: at.Add(-30 * ms), EndedAt: at})
 	}
 }
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -85,9 +85,9 @@
 
 // Crash is the end of an upstream that was running a request.
 type Crash struct {
-	// Start identifies one process of an upstream: a hash of its name and, if known, its start
+	// Instance identifies one process of an upstream: a hash of its name and, if known, its start
 	// time.
-	Start uint32
+	Instance uint32
 	// SentAt is when the request was sent, EndedAt when the upstream's connection closed.
 	SentAt, EndedAt time.Time
 }
@@ -200,12 +200,12 @@
 	}
 	newRound := r.rounds == 0 || c.SentAt.After(r.roundStart)
 	settled := r.rounds > 0 && c.SentAt.Sub(r.lastCrash) >= settleTime
-	if slices.Contains(r.instances, c.Start) && !settled {
+	if slices.Contains(r.instances, c.Instance) && !settled {
 		// Another connection to the same process, or a late detection of the same crash. After
 		// settleTime the crash is that of the next process under the same name.
 		return r.transition(now, content, was)
 	}
-	r.addInstance(c.Start)
+	r.addInstance(c.Instance)
 	if newRound {
 		r.rounds++
 		r.roundStart = c.EndedAt
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -23,7 +23,7 @@
 
 // crash returns a crash at the given time after start, of a request sent 30 ms earlier.
 func crash(upstream uint32, ended time.Duration) Crash {
-	return Crash{Start: upstream, SentAt: at(ended - 30*ms), EndedAt: at(ended)}
+	return Crash{Instance: upstream, SentAt: at(ended - 30*ms), EndedAt: at(ended)}
 }
 
 // vm wraps a Table with helpers for tests.
@@ -94,7 +94,7 @@
 func TestSendsAtTimeOfCrashBelongToSameRound(t *testing.T) {
 	v := newVM(t)
 	for u := range uint32(6) {
-		v.Crashed(start, content(1), Crash{Start: u, SentAt: start, EndedAt: start})
+		v.Crashed(start, content(1), Crash{Instance: u, SentAt: start, EndedAt: start})
 	}
 	v.expectStanding(0, Suspect)
 }
@@ -204,24 +204,24 @@
 	a.crashed(1, 0)
 	a.crashed(2, 50*ms)
 	a.sendPending(60*ms, b)
-	admit := func(v vm, now time.Duration, w Waiting) Admission { return v.Admit(at(now), content(1), &w) }
-	first := admit(a, time.Second, Wait(at(time.Second), 0))
-	if first.Standing != Suspect || first.Held || !first.Again.IsZero() {
+	admit := func(v vm, now time.Duration, w TrialWait) Admission { return v.Admit(at(now), content(1), &w) }
+	first := admit(a, time.Second, NewTrialWait(at(time.Second), 0))
+	if first.Standing != Suspect || first.Held || !first.RetryAt.IsZero() {
 		t.Errorf("a: %+v", first)
 	}
 	a.sendPending(time.Second, b)
-	w := Wait(at(time.Second+10*ms), 0.5)
-	if got := b.Admit(at(time.Second+10*ms), content(1), &w); got.Again.IsZero() {
+	w := NewTrialWait(at(time.Second+10*ms), 0.5)
+	if got := b.Admit(at(time.Second+10*ms), content(1), &w); got.RetryAt.IsZero() {
 		t.Errorf("b starts a second trial: %+v", got)
 	}
 	end := time.Second + trialTimeout
-	if got := admit(b, end+trialSpread/2-ms, w); got.Again.IsZero() {
+	if got := admit(b, end+trialSpread/2-ms, w); got.RetryAt.IsZero() {
 		t.Errorf("tried at the timeout of the trial, without a random delay: %+v", got)
 	}
-	if got := admit(b, end+trialSpread/2, w); !got.Again.IsZero() || got.Held {
+	if got := admit(b, end+trialSpread/2, w); !got.RetryAt.IsZero() || got.Held {
 		t.Errorf("a trial without a result delays other attempts: %+v", got)
 	}
-	if got := admit(b, end+trialSpread/2+ms, Waiting{}); !got.Held {
+	if got := admit(b, end+trialSpread/2+ms, TrialWait{}); !got.Held {
 		t.Errorf("not refused after the maximum wait: %+v", got)
 	}
 	a.Survived(at(2*time.Second), content(1))
@@ -235,11 +235,11 @@
 	a := newVM(t)
 	a.crashed(1, 0)
 	a.crashed(2, 50*ms)
-	w := Wait(at(time.Second), 0.5)
-	if got := a.Admit(at(time.Second+trialSpread/2-ms), content(1), &w); got.Again.IsZero() {
+	w := NewTrialWait(at(time.Second), 0.5)
+	if got := a.Admit(at(time.Second+trialSpread/2-ms), content(1), &w); got.RetryAt.IsZero() {
 		t.Errorf("tried before its delay is over: %+v", got)
 	}
-	if got := a.Admit(at(time.Second+trialSpread/2), content(1), &w); !got.Again.IsZero() {
+	if got := a.Admit(at(time.Second+trialSpread/2), content(1), &w); !got.RetryAt.IsZero() {
 		t.Errorf("not tried after its delay: %+v", got)
 	}
 }
--- a/internal/refusal/refusal.go
+++ b/internal/refusal/refusal.go
@@ -81,15 +81,15 @@
 	return &Error{Reason: reason, Ran: NotRun, Detail: detail}
 }
 
-// After sets RetryAfter and returns e.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter sets RetryAfter and returns e.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
 
-// Unproven changes NotRun to Unknown and returns e. It is for refusals made without a check for
+// WithUnproven changes NotRun to Unknown and returns e. It is for refusals made without a check for
 // other attempts of the request: this attempt did not run, but another may have.
-func (e *Error) Unproven() *Error {
+func (e *Error) WithUnproven() *Error {
 	if e.Ran == NotRun {
 		e.Ran = Unknown
 	}
--- a/internal/refusal/refusal_test.go
+++ b/internal/refusal/refusal_test.go
@@ -62,7 +62,7 @@
 		t.Errorf("%s", e)
 	}
 	ran := &Error{Reason: UpstreamFailed, Ran: DidRun}
-	if ran.Unproven().Ran != DidRun || kept.Unproven().Ran != Unknown {
+	if ran.WithUnproven().Ran != DidRun || kept.WithUnproven().Ran != Unknown {
 		t.Error("Unproven must change NotRun to Unknown and nothing else")
 	}
 }
--- a/internal/strain/strain.go
+++ b/internal/strain/strain.go
@@ -10,8 +10,8 @@
 import "time"
 
 const (
-	// Every is the interval of the wake-ups that a Meter observes.
-	Every = 50 * time.Millisecond
+	// Interval is the interval of the wake-ups that a Meter observes.
+	Interval = 50 * time.Millisecond
 	// lateThreshold is the delay from which a wake-up counts as late. A healthy process wakes
 	// within a millisecond or two.
 	lateThreshold = 8 * time.Millisecond
@@ -35,15 +35,15 @@
 	strained  bool
 }
 
-// Woken records a wake-up scheduled Every after the previous one. It reports whether the value
+// Observe records a wake-up scheduled Every after the previous one. It reports whether the value
 // of Strained has changed.
-func (m *Meter) Woken(now time.Time) bool {
+func (m *Meter) Observe(now time.Time) bool {
 	last := m.last
 	m.last = now
 	if last.IsZero() {
 		return false
 	}
-	m.add(max(now.Sub(last)-Every, 0))
+	m.add(max(now.Sub(last)-Interval, 0))
 	was := m.strained
 	switch {
 	case m.lateCount >= startCount:
--- a/internal/strain/strain_test.go
+++ b/internal/strain/strain_test.go
@@ -8,8 +8,8 @@
 // wakeLate records n wake-ups, each delayed by late.
 func wakeLate(m *Meter, now *time.Time, n int, late time.Duration) {
 	for range n {
-		*now = now.Add(Every + late)
-		m.Woken(*now)
+		*now = now.Add(Interval + late)
+		m.Observe(*now)
 	}
 }
 
