--- a/internal/edge/admit.go
+++ b/internal/edge/admit.go
@@ -98,5 +98,5 @@
 	return delay > tolerableDelay && delay*schedulingWaits > objective(route)
 }
 
-// SetLag sets how late the operating system wakes this process.
-func (e *Engine) SetLag(delay time.Duration) { e.schedulingDelay.Store(int64(delay)) }
+// SetSchedulingDelay sets how late the operating system wakes this process.
+func (e *Engine) SetSchedulingDelay(delay time.Duration) { e.schedulingDelay.Store(int64(delay)) }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -123,7 +123,7 @@
 		draws:      map[string]*routing.Draws{},
 	}
 	e.warmups.table = warmup.New()
-	e.shares.Store(&Shares{VMs: 1, Carriers: 1, Carrying: true})
+	e.shares.Store(&Shares{VMs: 1, IngressVMs: 1, Ingress: true})
 	e.pools = direct.NewPools(opts.Protocol, upstreamObserver{opts.Traffic, opts.Place, e}, e.connectionLimit)
 	e.startCall = e.pools.Do
 	e.checkEnded = e.pools.Check
@@ -179,8 +179,8 @@
 	}
 }
 
-// Poison returns the guard that withholds requests that crash upstreams.
-func (e *Engine) Poison() *poison.Guard { return e.poison }
+// PoisonGuard returns the guard that withholds requests that crash upstreams.
+func (e *Engine) PoisonGuard() *poison.Guard { return e.poison }
 
 // View returns the current view, nil before the first.
 func (e *Engine) View() *catalog.View { return e.view.Load() }
@@ -234,8 +234,8 @@
 // InFlight returns the number of requests in flight.
 func (e *Engine) InFlight() int64 { return e.inFlight.Load() }
 
-// Opened returns how many connections were opened to the current upstreams.
-func (e *Engine) Opened() uint64 { return e.pools.Opened() }
+// ConnectionsOpened returns how many connections were opened to the current upstreams.
+func (e *Engine) ConnectionsOpened() uint64 { return e.pools.Opened() }
 
 // Close closes the idle connections to upstreams.
 func (e *Engine) Close() { e.pools.Close() }
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -68,7 +68,7 @@
 		{80 * time.Millisecond, 250 * time.Millisecond, true},
 		{80 * time.Millisecond, time.Second, false},
 	} {
-		e.SetLag(c.delay)
+		e.SetSchedulingDelay(c.delay)
 		if got := e.cannotMeetObjective(&routing.Route{Objective: c.objective}); got != c.refused {
 			t.Errorf("scheduling delay %v, objective %v: refused %v", c.delay, c.objective, got)
 		}
@@ -83,7 +83,7 @@
 		carriers := rapid.IntRange(0, vms).Draw(t, "carriers")
 		total := 0.0
 		for i := range vms {
-			s := Shares{VMs: vms, Carriers: carriers, Carrying: i < carriers}
+			s := Shares{VMs: vms, IngressVMs: carriers, Ingress: i < carriers}
 			total += s.portion(100)
 		}
 		if total > 100.0001 {
--- a/internal/edge/observe_test.go
+++ b/internal/edge/observe_test.go
@@ -111,9 +111,9 @@
 			return e.Serve(request("/q/"))
 		}},
 		{Malformed, func(e *testEngine) Answer { return e.Refuse(request("/p/"), Malformed) }},
-		{TooLarge, func(e *testEngine) Answer { return e.Refuse(request("/p/"), TooLarge) }},
-		{HeadTooLarge, func(e *testEngine) Answer { return e.Refuse(request("/p/"), HeadTooLarge) }},
-		{TooSlow, func(e *testEngine) Answer { return e.Refuse(request("/p/"), TooSlow) }},
+		{BodyTooLarge, func(e *testEngine) Answer { return e.Refuse(request("/p/"), BodyTooLarge) }},
+		{HeaderTooLarge, func(e *testEngine) Answer { return e.Refuse(request("/p/"), HeaderTooLarge) }},
+		{RequestTooSlow, func(e *testEngine) Answer { return e.Refuse(request("/p/"), RequestTooSlow) }},
 	} {
 		e := newTestEngine()
 		if a := c.refuse(e); a.Reason != c.reason || !a.NotRun {
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -92,12 +92,12 @@
 	CallerGone Reason = "caller_gone"
 	// Malformed: the request violates the protocol.
 	Malformed Reason = "malformed"
-	// TooLarge: the body exceeds the limit.
-	TooLarge Reason = "body_too_large"
-	// HeadTooLarge: the request line and headers exceed the limit.
-	HeadTooLarge Reason = "head_too_large"
-	// TooSlow: the request did not arrive in time.
-	TooSlow Reason = "request_too_slow"
+	// BodyTooLarge: the body exceeds the limit.
+	BodyTooLarge Reason = "body_too_large"
+	// HeaderTooLarge: the request line and headers exceed the limit.
+	HeaderTooLarge Reason = "head_too_large"
+	// RequestTooSlow: the request did not arrive in time.
+	RequestTooSlow Reason = "request_too_slow"
 )
 
 // Retry times that refusals recommend.
--- a/internal/edge/shares.go
+++ b/internal/edge/shares.go
@@ -9,19 +9,19 @@
 type Shares struct {
 	// VMs is the number of VMs.
 	VMs int
-	// Carriers is the number of VMs that callers are directed to.
-	Carriers int
-	// Carrying says that callers are directed to this VM.
-	Carrying bool
+	// IngressVMs is the number of VMs that callers are directed to.
+	IngressVMs int
+	// Ingress says that callers are directed to this VM.
+	Ingress bool
 }
 
 // portion returns this VM's share of a limit.
 func (s *Shares) portion(bound float64) float64 {
-	if s.Carriers <= 0 || s.Carriers >= s.VMs {
+	if s.IngressVMs <= 0 || s.IngressVMs >= s.VMs {
 		return bound * ingressShare / float64(max(1, s.VMs))
 	}
-	if s.Carrying {
-		return bound * ingressShare / float64(s.Carriers)
+	if s.Ingress {
+		return bound * ingressShare / float64(s.IngressVMs)
 	}
-	return bound * (1 - ingressShare) / float64(s.VMs-s.Carriers)
+	return bound * (1 - ingressShare) / float64(s.VMs-s.IngressVMs)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -187,7 +187,7 @@
 	opts.Registry.MustRegister(opts.Traffic)
 	d.syncer.memberUpdates = d.gossip.Updates
 	d.syncer.learnMembers = d.gossip.Learn
-	d.syncer.poison = d.engine.Poison()
+	d.syncer.poison = d.engine.PoisonGuard()
 	d.syncer.self = d.gossip.Self
 	d.syncer.view = d.members.Load
 	return d
@@ -255,7 +255,7 @@
 		Callbacks: gossip.Callbacks{
 			View:        d.applyMembers,
 			Heard:       d.syncer.onAnnouncement,
-			Quarantine:  d.engine.Poison().HandleEntries,
+			Quarantine:  d.engine.PoisonGuard().HandleEntries,
 			Revalidate:  func() { d.log.Warn("gossip: this process was paused") },
 			Revalidated: func(alone bool) { d.log.Info("gossip: peers reachable again", zap.Bool("alone", alone)) },
 			Superseded:  func(uint64) {},
@@ -367,13 +367,13 @@
 	carriers := placement.Carriers(members.Members, d.placementBounds())
 	d.carrying.Store(carriers[d.settings.Load().CallerAddress])
 	shares := d.recentShares.update(now, edge.Shares{
-		VMs:      len(members.Serving()),
-		Carriers: len(carriers),
-		Carrying: d.carrying.Load(),
+		VMs:        len(members.Serving()),
+		IngressVMs: len(carriers),
+		Ingress:    d.carrying.Load(),
 	})
 	if now.Sub(d.started) < startupSettleTime {
 		shares.VMs = max(shares.VMs, startupMinVMs)
-		shares.Carriers = max(shares.Carriers, startupMinCarriers)
+		shares.IngressVMs = max(shares.IngressVMs, startupMinCarriers)
 	}
 	d.engine.SetShares(now, shares)
 }
@@ -422,7 +422,7 @@
 	group.Go(func() error { return d.syncer.run(run) })
 	group.Go(func() error { return d.join(run) })
 	group.Go(func() error { return d.runTicker(run) })
-	group.Go(func() error { return d.engine.Poison().Run(run, d.gossip) })
+	group.Go(func() error { return d.engine.PoisonGuard().Run(run, d.gossip) })
 	group.Go(func() error { return d.watchStrain(run) })
 	group.Go(func() error { return d.logTraffic(run) })
 	group.Go(func() error { return d.watchSettings(run) })
@@ -460,7 +460,7 @@
 		case <-t.C:
 		}
 		changed := m.Observe(time.Now())
-		d.engine.SetLag(m.Lag())
+		d.engine.SetSchedulingDelay(m.Lag())
 		if changed {
 			d.strained.Store(m.Strained())
 			d.log.Warn("node: strain", zap.Bool("strained", m.Strained()), zap.Duration("lag", m.Lag()))
--- a/internal/node/shares.go
+++ b/internal/node/shares.go
@@ -39,7 +39,7 @@
 	}
 	for _, x := range s.samples {
 		shares.VMs = max(shares.VMs, x.shares.VMs)
-		shares.Carriers = max(shares.Carriers, x.shares.Carriers)
+		shares.IngressVMs = max(shares.IngressVMs, x.shares.IngressVMs)
 	}
 	return shares
 }
--- a/internal/wire/ingress.go
+++ b/internal/wire/ingress.go
@@ -61,11 +61,11 @@
 	var timeout net.Error
 	switch {
 	case errors.As(err, &small):
-		return edge.HeadTooLarge
+		return edge.HeaderTooLarge
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
-		return edge.TooLarge
+		return edge.BodyTooLarge
 	case errors.As(err, &timeout) && timeout.Timeout():
-		return edge.TooSlow
+		return edge.RequestTooSlow
 	default:
 		return edge.Malformed
 	}
@@ -112,9 +112,9 @@
 func exceededLimit(l routing.Limits, head, body int) edge.Reason {
 	switch {
 	case l.HeaderBytes > 0 && head > l.HeaderBytes:
-		return edge.HeadTooLarge
+		return edge.HeaderTooLarge
 	case l.BodyBytes > 0 && body > l.BodyBytes:
-		return edge.TooLarge
+		return edge.BodyTooLarge
 	default:
 		return ""
 	}
@@ -234,11 +234,11 @@
 	switch a.Reason {
 	case edge.Malformed:
 		return fasthttp.StatusBadRequest
-	case edge.HeadTooLarge:
+	case edge.HeaderTooLarge:
 		return fasthttp.StatusRequestHeaderFieldsTooLarge
-	case edge.TooSlow:
+	case edge.RequestTooSlow:
 		return fasthttp.StatusRequestTimeout
-	case edge.TooLarge:
+	case edge.BodyTooLarge:
 		return fasthttp.StatusRequestEntityTooLarge
 	case edge.NoRoute:
 		return fasthttp.StatusNotFound
--- a/internal/wire/ingress_test.go
+++ b/internal/wire/ingress_test.go
@@ -72,15 +72,15 @@
 		{"no id", "GET /p/ HTTP/1.1\r\nHost: h\r\n\r\n", 400, edge.Malformed},
 		{"a non-numeric deadline", head + "X-Deadline-Ms: soon\r\n\r\n", 400, edge.Malformed},
 		{"not HTTP", "hello\r\n\r\n", 400, edge.Malformed},
-		{"headers over the limit", head + "X: " + strings.Repeat("x", 100) + "\r\n\r\n", 431, edge.HeadTooLarge},
-		{"headers over the read buffer", head + "X: " + strings.Repeat("x", 900) + "\r\n\r\n", 431, edge.HeadTooLarge},
-		{"a body over the limit", head + "Content-Length: 11\r\n\r\n12345678901", 413, edge.TooLarge},
-		{"a body over the maximum read size", head + "Content-Length: 101\r\n\r\n", 413, edge.TooLarge},
-		{"incomplete headers", head, 408, edge.TooSlow},
+		{"headers over the limit", head + "X: " + strings.Repeat("x", 100) + "\r\n\r\n", 431, edge.HeaderTooLarge},
+		{"headers over the read buffer", head + "X: " + strings.Repeat("x", 900) + "\r\n\r\n", 431, edge.HeaderTooLarge},
+		{"a body over the limit", head + "Content-Length: 11\r\n\r\n12345678901", 413, edge.BodyTooLarge},
+		{"a body over the maximum read size", head + "Content-Length: 101\r\n\r\n", 413, edge.BodyTooLarge},
+		{"incomplete headers", head, 408, edge.RequestTooSlow},
 		{"no route", head + "\r\n", 404, edge.NoRoute},
 	} {
 		readTimeout := testTimeout
-		if c.reason == edge.TooSlow {
+		if c.reason == edge.RequestTooSlow {
 			readTimeout = 50 * time.Millisecond
 		}
 		ln, registry := startServer(t, readTimeout)
