--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -94,9 +94,9 @@
 	Upstreams map[string]*Upstream
 }
 
-// Before reports whether other is to replace this view: it has a later epoch, or the same epoch
+// SupersededBy reports whether other is to replace this view: it has a later epoch, or the same epoch
 // and at least the same position.
-func (v *View) Before(other *View) bool {
+func (v *View) SupersededBy(other *View) bool {
 	if v.Epoch != other.Epoch {
 		return v.Epoch < other.Epoch
 	}
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -51,7 +51,7 @@
 	u := Upstream{ID: strings.TrimPrefix(it.Key, "up/"), Service: words[0]}
 	for _, word := range words[1:] {
 		if born, err := strconv.Atoi(word); err == nil {
-			u.Born = time.Unix(int64(born), 0)
+			u.StartedAt = time.Unix(int64(born), 0)
 		}
 		u.Leaving = u.Leaving || word == "leaving"
 		if dataCentre, ok := strings.CutPrefix(word, "in-"); ok {
--- a/internal/catalog/invalid_entries_test.go
+++ b/internal/catalog/invalid_entries_test.go
@@ -64,7 +64,7 @@
 		t.Error("an entry of an earlier start counts as a change")
 	}
 	u := s.View().Upstreams["a"]
-	if u == nil || u.Leaving || u.Born != time.Unix(200, 0) {
+	if u == nil || u.Leaving || u.StartedAt != time.Unix(200, 0) {
 		t.Errorf("%+v", u)
 	}
 	behind := sampleState()
--- a/internal/catalog/position.go
+++ b/internal/catalog/position.go
@@ -23,9 +23,9 @@
 // Before reports whether p precedes q.
 func (p Position) Before(q Position) bool { return p.Compare(q) < 0 }
 
-// Above returns how many revisions p is ahead of q: 0 if it is not ahead, and 1 if it is in a
+// RevisionsAhead returns how many revisions p is ahead of q: 0 if it is not ahead, and 1 if it is in a
 // later era.
-func (p Position) Above(q Position) uint64 {
+func (p Position) RevisionsAhead(q Position) uint64 {
 	switch {
 	case !q.Before(p):
 		return 0
--- a/internal/catalog/registrations.go
+++ b/internal/catalog/registrations.go
@@ -43,7 +43,7 @@
 // leavingRevoked reports whether an entry of a later era shows as not leaving the same start of
 // an upstream that was leaving before.
 func (l *latestStart) leavingRevoked(it Item, u *Upstream) bool {
-	return l.leaving && !u.Leaving && l.item.Era < it.Era && !u.Born.After(l.startedAt)
+	return l.leaving && !u.Leaving && l.item.Era < it.Era && !u.StartedAt.After(l.startedAt)
 }
 
 // putUpstream applies a registration. An entry that cannot be decoded comes from another writer
@@ -59,7 +59,7 @@
 	delete(s.restored, it.Key)
 	u, err := s.decoder.Upstream(it)
 	latest := s.starts[it.Key]
-	if err == nil && latest != nil && u.Born.IsZero() && !latest.startedAt.IsZero() {
+	if err == nil && latest != nil && u.StartedAt.IsZero() && !latest.startedAt.IsZero() {
 		err = errNoStartTime
 	}
 	if err != nil {
@@ -70,12 +70,12 @@
 		return s.dropUpstream(it.Key)
 	}
 	delete(s.lastFaults, it.Key)
-	if latest != nil && (latest.startedAt.After(u.Born) || latest.leavingRevoked(it, &u)) {
+	if latest != nil && (latest.startedAt.After(u.StartedAt) || latest.leavingRevoked(it, &u)) {
 		return false
 	}
 	delete(s.pendingRemovals, it.Key)
 	old := s.upstreams[it.Key]
-	s.starts[it.Key] = &latestStart{item: it, startedAt: u.Born, leaving: u.Leaving}
+	s.starts[it.Key] = &latestStart{item: it, startedAt: u.StartedAt, leaving: u.Leaving}
 	s.upstreams[it.Key] = &u
 	return old == nil || *old != u
 }
--- a/internal/catalog/upstream.go
+++ b/internal/catalog/upstream.go
@@ -17,14 +17,14 @@
 	Leaving bool
 	// ColdFor is how long the upstream expected to be slow after registering.
 	ColdFor time.Duration
-	// Born is the start time by the upstream's own clock, zero if not reported.
-	Born time.Time
-	// Registered is the revision at which the entry first appeared.
-	Registered uint64
+	// StartedAt is the start time by the upstream's own clock, zero if not reported.
+	StartedAt time.Time
+	// RegisteredRevision is the revision at which the entry first appeared.
+	RegisteredRevision uint64
 }
 
 // StartedAfter reports whether u is a later start of the same upstream than other. Observations
 // of the earlier start do not apply to the later one.
 func (u *Upstream) StartedAfter(other *Upstream) bool {
-	return !other.Born.IsZero() && u.Born.After(other.Born)
+	return !other.StartedAt.IsZero() && u.StartedAt.After(other.StartedAt)
 }
--- a/internal/direct/check_test.go
+++ b/internal/direct/check_test.go
@@ -62,9 +62,9 @@
 	s := newServer(t, respondWith(func(id string) string { return response(id, "x") }))
 	cl := newClient(t, s, 1)
 	former := *cl.up
-	former.Born = time.Unix(1000, 0)
+	former.StartedAt = time.Unix(1000, 0)
 	later := former
-	later.Born = time.Unix(2000, 0)
+	later.StartedAt = time.Unix(2000, 0)
 	cl.up = &later
 	cl.call("1")
 	cl.up = &former
@@ -88,7 +88,7 @@
 	} {
 		s := newServer(t, respondWith(func(id string) string { return response(id, "x") }))
 		cl := newClient(t, s, 1)
-		cl.up.Born = time.Unix(1000, 0)
+		cl.up.StartedAt = time.Unix(1000, 0)
 		cl.call("1")
 		out := make(chan bool, 2)
 		cl.pools.Check(cl.up, func(ended bool) { out <- ended })
@@ -97,7 +97,7 @@
 		}
 		later := *cl.up
 		later.ID = c.id
-		later.Born = time.Unix(2000, 0)
+		later.StartedAt = time.Unix(2000, 0)
 		if c.address != "" {
 			later.Address = c.address
 		}
--- a/internal/direct/restart_test.go
+++ b/internal/direct/restart_test.go
@@ -13,7 +13,7 @@
 // restarted returns the registration of a later start with the same id at server s.
 func restarted(u *catalog.Upstream, s *server) *catalog.Upstream {
 	next := *u
-	next.Born = u.Born.Add(time.Minute)
+	next.StartedAt = u.StartedAt.Add(time.Minute)
 	next.Address = s.ln.Addr().String()
 	return &next
 }
@@ -42,7 +42,7 @@
 	former := newServer(t, unresponsive(arrived))
 	next := newServer(t, respondWith(func(id string) string { return response(id, "x") }))
 	cl := newClient(t, former, 1)
-	cl.up.Born = time.Unix(1000, 0)
+	cl.up.StartedAt = time.Unix(1000, 0)
 	_, inFlight := cl.begin("1", nil, 0)
 	<-arrived
 	_, waiting := cl.begin("2", nil, 0)
@@ -65,7 +65,7 @@
 	former := newServer(t, respondWith(func(id string) string { return response(id, "former") }))
 	next := newServer(t, respondWith(func(id string) string { return response(id, "next") }))
 	cl := newClient(t, former, 1)
-	cl.up.Born = time.Unix(1000, 0)
+	cl.up.StartedAt = time.Unix(1000, 0)
 	cl.call("1")
 	cl.up = restarted(cl.up, next)
 	cl.setUpstream(cl.up)
@@ -87,7 +87,7 @@
 		"elsewhere":    {elsewhere, scatter.Unreached},
 	} {
 		cl := newClient(t, s, 1)
-		cl.up.Born = time.Unix(1000, 0)
+		cl.up.StartedAt = time.Unix(1000, 0)
 		next := restarted(cl.up, c.next)
 		former := cl.up
 		cl.up = next
--- a/internal/edge/poison.go
+++ b/internal/edge/poison.go
@@ -43,7 +43,7 @@
 	h := fnv.New32a()
 	// Writing to a hash never fails.
 	_, _ = h.Write([]byte(u.ID))
-	_, _ = h.Write([]byte(strconv.FormatInt(u.Born.UnixNano(), 16)))
+	_, _ = h.Write([]byte(strconv.FormatInt(u.StartedAt.UnixNano(), 16)))
 	return h.Sum32()
 }
 
--- a/internal/edge/warm_test.go
+++ b/internal/edge/warm_test.go
@@ -73,7 +73,7 @@
 		Budget: retrybudget.Limit{Ratio: 0.2, Window: 10 * time.Second, Allowance: 30}, MaxRequests: 10,
 		Random: rand.New(rand.NewPCG(1, 2)), ViewAge: func() time.Duration { return 0 },
 	})
-	c.upstream = &catalog.Upstream{ID: "u", Service: "s", DataCentre: "a", Slots: 4, Address: ln.Addr().String(), Born: time.Unix(1, 0)}
+	c.upstream = &catalog.Upstream{ID: "u", Service: "s", DataCentre: "a", Slots: 4, Address: ln.Addr().String(), StartedAt: time.Unix(1, 0)}
 	config := &routing.Config{
 		Services: []routing.Service{{Name: "s", HealthPath: healthPath, ColdBound: true}},
 		Routes:   []routing.Route{{Name: "one", Host: "h", Prefix: "/", Idempotent: true, Objective: time.Second, Attempts: 2, Targets: []routing.Target{{Service: "s", Weight: 1}}}},
--- a/internal/follow/confirm_test.go
+++ b/internal/follow/confirm_test.go
@@ -27,7 +27,7 @@
 	for end := now.Add(4 * bound); now.Before(end); now = now.Add(round) {
 		ended := pending
 		revision++
-		actions := f.Heard(now, peer, at(revision), hop)
+		actions := f.PeerAnnounced(now, peer, at(revision), hop)
 		if ended.ID > 0 {
 			page := catalog.Page{At: at(revision - 1), After: ended.After, Items: []catalog.Item{put("u1", revision-1)}}
 			actions = f.Pulled(now, ended.ID, page)
@@ -49,13 +49,13 @@
 func TestUnconfirmedClaimConfirmsNothing(t *testing.T) {
 	f := newFollower(start, "a", "r", false)
 	f.ListedStale(start, at(10), []catalog.Item{put("u1", 5)})
-	if got := describeActions(f.Heard(start.Add(time.Second), Peer{VM: "b", Region: "s", Address: "b"}, at(10), Unconfirmed)); got != "" {
+	if got := describeActions(f.PeerAnnounced(start.Add(time.Second), Peer{VM: "b", Region: "s", Address: "b"}, at(10), Unconfirmed)); got != "" {
 		t.Errorf("heard: %q", got)
 	}
 	if !f.Confirmed().IsZero() {
 		t.Errorf("confirmed at %v", f.Confirmed())
 	}
-	f.Heard(start.Add(time.Second), Peer{VM: "b", Region: "r", Address: "b"}, at(12), Unconfirmed)
+	f.PeerAnnounced(start.Add(time.Second), Peer{VM: "b", Region: "r", Address: "b"}, at(12), Unconfirmed)
 	if f.Lead() != at(12) {
 		t.Errorf("the lead is %v, want the unconfirmed claim", f.Lead())
 	}
--- a/internal/follow/era_test.go
+++ b/internal/follow/era_test.go
@@ -33,8 +33,8 @@
 		f.Listed(now, at(12), nil)
 	}
 	claim := catalog.Position{Era: 1, Revision: 13}
-	f.Heard(now, Peer{VM: "b", Region: "r", Address: "b"}, claim, time.Millisecond)
-	if f.Lead() != claim || f.Disbelieved() != 0 {
-		t.Errorf("the lead is %v, %d claims ignored", f.Lead(), f.Disbelieved())
+	f.PeerAnnounced(now, Peer{VM: "b", Region: "r", Address: "b"}, claim, time.Millisecond)
+	if f.Lead() != claim || f.RejectedClaims() != 0 {
+		t.Errorf("the lead is %v, %d claims ignored", f.Lead(), f.RejectedClaims())
 	}
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -41,8 +41,8 @@
 type Options struct {
 	VM    string
 	Place locality.Place
-	// Bound is the time within which a change must be in force.
-	Bound time.Duration
+	// ChangeBound is the time within which a change must be in force.
+	ChangeBound time.Duration
 	// FirstStart is set when the whole system starts for the first time, so that no peer has
 	// any state yet.
 	FirstStart bool
@@ -58,8 +58,8 @@
 // List reads everything from the store. The caller reports the result with Listed, ListedStale
 // or ReadFailed.
 type List struct {
-	// Stale permits an answer that is seconds old, which is cheaper for the store.
-	Stale bool
+	// AllowStale permits an answer that is seconds old, which is cheaper for the store.
+	AllowStale bool
 }
 
 // Watch waits at the store for changes after a position. The caller reports the result with
@@ -75,17 +75,17 @@
 	ID      uint64
 	Address string
 	After   catalog.Position
-	// Stall ends the pull when no data has arrived for that long. Timeout limits the whole
+	// StallTimeout ends the pull when no data has arrived for that long. Timeout limits the whole
 	// pull.
-	Stall   time.Duration
-	Timeout time.Duration
+	StallTimeout time.Duration
+	Timeout      time.Duration
 }
 
 // Announce sends peers the current position and the age of its confirmation.
 type Announce struct {
-	// Wide is set when the confirmation comes from the store. It is then sent to some peers of
+	// AllRegions is set when the confirmation comes from the store. It is then sent to some peers of
 	// every region, which forward it.
-	Wide bool
+	AllRegions bool
 }
 
 // Changed reports that the catalog's view has changed.
@@ -182,9 +182,9 @@
 // behindLead reports whether a peer is ahead.
 func (f *Follower) behindLead() bool { return f.state.Position().Before(f.lead.position) }
 
-// Disbelieved returns how many claims of peers were ignored because the store does not have
+// RejectedClaims returns how many claims of peers were ignored because the store does not have
 // their position.
-func (f *Follower) Disbelieved() uint64 { return f.rejectedClaims }
+func (f *Follower) RejectedClaims() uint64 { return f.rejectedClaims }
 
 // Reader reports whether this VM reads the store.
 func (f *Follower) Reader(now time.Time) bool {
@@ -214,8 +214,8 @@
 	f.fleetSize = len(all)
 }
 
-// SetBound sets the time within which a change must be in force.
-func (f *Follower) SetBound(bound time.Duration) { f.opts.Bound = bound }
+// SetChangeBound sets the time within which a change must be in force.
+func (f *Follower) SetChangeBound(bound time.Duration) { f.opts.ChangeBound = bound }
 
 // readerWeight orders the VMs as candidate readers, identically on every VM.
 func readerWeight(p Peer) uint64 { return rendezvous.Mix(xxhash.Sum64String(p.VM)) }
@@ -237,9 +237,9 @@
 	return f.actions
 }
 
-// Alone reports that the seeds were asked and none has any state, which ends the wait for a
+// SeedsEmpty reports that the seeds were asked and none has any state, which ends the wait for a
 // peer's answer.
-func (f *Follower) Alone(now time.Time) []Action {
+func (f *Follower) SeedsEmpty(now time.Time) []Action {
 	f.actions = nil
 	f.seedsEmpty = true
 	f.maybeRead(now)
@@ -250,5 +250,5 @@
 
 // ofBound returns a fraction of the bound.
 func (f *Follower) ofBound(s float64) time.Duration {
-	return time.Duration(s * float64(f.opts.Bound))
+	return time.Duration(s * float64(f.opts.ChangeBound))
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -31,7 +31,7 @@
 
 func newFollower(now time.Time, name, region string, first bool) *Follower {
 	return New(now, Options{
-		VM: name, Place: locality.Place{Region: region}, Bound: bound, FirstStart: first, Decoder: testDecoder{},
+		VM: name, Place: locality.Place{Region: region}, ChangeBound: bound, FirstStart: first, Decoder: testDecoder{},
 		Random: rand.New(rand.NewPCG(1, uint64(len(name)))),
 	})
 }
@@ -146,16 +146,16 @@
 	f.SetPeers([]Peer{{VM: "b", Region: "r"}, {VM: "c", Region: "s"}})
 	f.rank = 1
 	far, near := Peer{VM: "c", Region: "s", Address: "far"}, Peer{VM: "b", Region: "r", Address: "near"}
-	if got := describeActions(f.Heard(start, far, at(20), 0)); got != "" {
+	if got := describeActions(f.PeerAnnounced(start, far, at(20), 0)); got != "" {
 		t.Errorf("%q at once for a peer of another region", got)
 	}
-	if got := describeActions(f.Heard(start, near, at(20), 0)); got != "pull>0:near" {
+	if got := describeActions(f.PeerAnnounced(start, near, at(20), 0)); got != "pull>0:near" {
 		t.Errorf("%q, want a pull from the peer of the same region", got)
 	}
 	if got := describeActions(f.Pulled(start, 1, catalog.Page{At: at(20), Whole: true, Items: []catalog.Item{put("u1", 5)}})); got != "announce changed" {
 		t.Errorf("after the pull: %q", got)
 	}
-	if got := describeActions(f.Heard(start, far, at(21), 0)); got != "" {
+	if got := describeActions(f.PeerAnnounced(start, far, at(21), 0)); got != "" {
 		t.Errorf("%q at once for a peer of another region", got)
 	}
 	if got := describeActions(f.Tick(start.Add(farPullDelay))); got != "pull>20:far" {
@@ -164,7 +164,7 @@
 	if got := describeActions(f.PullFailed(start.Add(farPullDelay+pullStallTimeout), 2)); got != "" {
 		t.Errorf("%q after a failed pull, want a wait for the next announcement", got)
 	}
-	if got := describeActions(f.Heard(start.Add(time.Second), near, at(21), 0)); got != "pull>20:near" {
+	if got := describeActions(f.PeerAnnounced(start.Add(time.Second), near, at(21), 0)); got != "pull>20:near" {
 		t.Errorf("%q, want a pull from the next peer", got)
 	}
 }
@@ -177,11 +177,11 @@
 	if got := describeActions(f.Tick(start)); got != "" {
 		t.Errorf("%q at once", got)
 	}
-	if got := describeActions(f.Alone(start.Add(20 * time.Millisecond))); got != "list" {
+	if got := describeActions(f.SeedsEmpty(start.Add(20 * time.Millisecond))); got != "list" {
 		t.Errorf("%q when no seed has any state", got)
 	}
 	first := newFollower(start, "a", "r", true)
-	if got := describeActions(first.Alone(start.Add(20 * time.Millisecond))); got != "" {
+	if got := describeActions(first.SeedsEmpty(start.Add(20 * time.Millisecond))); got != "" {
 		t.Errorf("%q on the first start of the whole system, when one VM reads for all", got)
 	}
 }
@@ -191,7 +191,7 @@
 func TestPeerBehindItsClaimIsNotPulledInALoop(t *testing.T) {
 	f, now := reader()
 	peer := Peer{VM: "b", Region: "r", Address: "b"}
-	actions := f.Heard(now, peer, at(99), 0)
+	actions := f.PeerAnnounced(now, peer, at(99), 0)
 	for range 3 {
 		pulled := false
 		for _, a := range actions {
--- a/internal/follow/forged_test.go
+++ b/internal/follow/forged_test.go
@@ -15,7 +15,7 @@
 	f, now := reader()
 	f.SetPeers([]Peer{{VM: "b", Region: "r"}})
 	now = now.Add(time.Second)
-	f.Heard(now, Peer{VM: "b", Region: "r", Address: "b"}, at(forgedRevision), time.Millisecond)
+	f.PeerAnnounced(now, Peer{VM: "b", Region: "r", Address: "b"}, at(forgedRevision), time.Millisecond)
 	now = now.Add(time.Second)
 	f.Tick(now)
 	f.Pulled(now, f.lastPullID, catalog.Page{At: at(forgedRevision), Whole: true, Items: []catalog.Item{put("nowhere", forgedRevision)}})
@@ -43,10 +43,10 @@
 	}
 	now = now.Add(time.Second)
 	peer := Peer{VM: "b", Region: "r", Address: "b"}
-	if got := describeActions(f.Heard(now, peer, at(forgedRevision), time.Millisecond)); got != "" {
+	if got := describeActions(f.PeerAnnounced(now, peer, at(forgedRevision), time.Millisecond)); got != "" {
 		t.Errorf("the disproved claim is followed again: %q", got)
 	}
-	f.Heard(now, peer, at(13), time.Millisecond)
+	f.PeerAnnounced(now, peer, at(13), time.Millisecond)
 	if f.Lead() != at(13) {
 		t.Errorf("the lead is %v, want the valid claim", f.Lead())
 	}
@@ -72,7 +72,7 @@
 	f.readStartedAt = now
 	now = now.Add(time.Second)
 	f.SetPeers([]Peer{{VM: "b", Region: "r"}})
-	f.Heard(now, Peer{VM: "b", Region: "r", Address: "b"}, at(20), time.Millisecond)
+	f.PeerAnnounced(now, Peer{VM: "b", Region: "r", Address: "b"}, at(20), time.Millisecond)
 	f.Tick(now.Add(readerPullDelay))
 	f.Pulled(now, f.lastPullID, catalog.Page{At: at(20), Whole: true, Items: []catalog.Item{put("u2", 20)}})
 	if got := describeActions(f.Listed(now.Add(time.Second), at(12), nil)); got != "" {
--- a/internal/follow/pull.go
+++ b/internal/follow/pull.go
@@ -43,9 +43,9 @@
 // Unconfirmed is the age to pass to Heard when the peer reports no confirmation.
 const Unconfirmed time.Duration = -1
 
-// Heard handles a peer's announcement of its position and of the time since the store last
+// PeerAnnounced handles a peer's announcement of its position and of the time since the store last
 // confirmed it.
-func (f *Follower) Heard(now time.Time, peer Peer, at catalog.Position, age time.Duration) []Action {
+func (f *Follower) PeerAnnounced(now time.Time, peer Peer, at catalog.Position, age time.Duration) []Action {
 	f.actions = nil
 	confirmed := now.Add(-age)
 	if age == Unconfirmed {
@@ -176,14 +176,14 @@
 		return
 	}
 	f.lastPullID++
-	f.pull = &Pull{ID: f.lastPullID, Address: f.lead.address, After: f.state.Position(), Stall: pullStallTimeout, Timeout: f.pullTimeout()}
+	f.pull = &Pull{ID: f.lastPullID, Address: f.lead.address, After: f.state.Position(), StallTimeout: pullStallTimeout, Timeout: f.pullTimeout()}
 	f.pullStartedAt = now
 	f.pulledClaim = f.lead
 	f.emit(*f.pull)
 }
 
 // pullTimeout returns the time limit of a whole pull.
-func (f *Follower) pullTimeout() time.Duration { return max(pullStallTimeout, f.opts.Bound) }
+func (f *Follower) pullTimeout() time.Duration { return max(pullStallTimeout, f.opts.ChangeBound) }
 
 // pullDelay returns how long to wait for a closer source before pulling from the leading peer.
 func (f *Follower) pullDelay() time.Duration {
--- a/internal/follow/read.go
+++ b/internal/follow/read.go
@@ -70,7 +70,7 @@
 	}
 	f.contradictions = 0
 	f.relist = false
-	f.preferList = f.preferList && at.Above(f.state.Position()) >= burstRevisions
+	f.preferList = f.preferList && at.RevisionsAhead(f.state.Position()) >= burstRevisions
 	changed := f.state.Replace(now, at, items)
 	f.positionReached(now)
 	f.storeConfirmed(now, changed)
@@ -238,7 +238,7 @@
 func (f *Follower) storeConfirmed(now time.Time, changed bool) {
 	f.confirmedAt = now
 	f.state.StoreAnswered(now)
-	f.emit(Announce{Wide: true})
+	f.emit(Announce{AllRegions: true})
 	if changed {
 		f.emit(Changed{})
 	}
@@ -254,7 +254,7 @@
 	f.readOpen = true
 	f.readStartedAt = now
 	if f.relist || f.preferList {
-		f.emit(List{Stale: f.allowsStale(now)})
+		f.emit(List{AllowStale: f.allowsStale(now)})
 		return
 	}
 	f.emit(Watch{After: f.state.Position(), Wait: f.ofBound(watchWaitShare)})
--- a/internal/node/join.go
+++ b/internal/node/join.go
@@ -63,7 +63,7 @@
 func (d *Daemon) join(ctx context.Context) error {
 	seeds := otherSeeds(d.settings.Load())
 	if !d.syncer.querySeeds(seeds, false) {
-		d.syncer.step((*follow.Follower).Alone)
+		d.syncer.step((*follow.Follower).SeedsEmpty)
 	}
 	for _, wait := range refreshDelays {
 		select {
@@ -193,7 +193,7 @@
 	if allMembers {
 		timeout = refreshTimeout
 	}
-	return s.fetch(req, traffic.Members, follow.Pull{Address: address, Stall: timeout, Timeout: timeout}, catalog.Document{})
+	return s.fetch(req, traffic.Members, follow.Pull{Address: address, StallTimeout: timeout, Timeout: timeout}, catalog.Document{})
 }
 
 // memberListFor returns the encoded answer to a joining VM and adds that VM's entry,
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -173,13 +173,13 @@
 			d.traffic.Add(p, d.distanceTo(address), bytes)
 		},
 		follower: follow.New(now, follow.Options{
-			VM:         set.VM,
-			Place:      placeOf(set),
-			Bound:      set.ChangeBound,
-			FirstStart: set.FirstStart,
-			Seed:       slices.Contains(set.Seeds, set.PeerAddress),
-			Decoder:    opts.Adapter.Decoder,
-			Random:     rand.New(rand.NewPCG(hashName(set.VM), uint64(now.UnixMicro()))),
+			VM:          set.VM,
+			Place:       placeOf(set),
+			ChangeBound: set.ChangeBound,
+			FirstStart:  set.FirstStart,
+			Seed:        slices.Contains(set.Seeds, set.PeerAddress),
+			Decoder:     opts.Adapter.Decoder,
+			Random:      rand.New(rand.NewPCG(hashName(set.VM), uint64(now.UnixMicro()))),
 		}),
 	}
 	d.gossip = d.newGossip(now, set)
@@ -268,14 +268,14 @@
 func (d *Daemon) announce(at catalog.Position, confirmed time.Time, push *follow.Announce) {
 	d.gossip.SetConfirmed(at.Era, at.Revision, confirmed)
 	if push != nil {
-		d.gossip.Announce(push.Wide)
+		d.gossip.Announce(push.AllRegions)
 	}
 }
 
 // applyView makes v the current catalog view unless the current view is newer.
 func (d *Daemon) applyView(v *catalog.View) {
 	old := d.engine.View()
-	if old != nil && !old.Before(v) {
+	if old != nil && !old.SupersededBy(v) {
 		return
 	}
 	d.engine.SetView(time.Now(), v)
--- a/internal/node/pages.go
+++ b/internal/node/pages.go
@@ -89,7 +89,7 @@
 	client := &fasthttp.HostClient{
 		Addr: p.Address, MaxResponseBodySize: pagepack.MaxPage, NoDefaultUserAgentHeader: true, MaxIdemponentCallAttempts: 1,
 		DialTimeout: func(addr string, _ time.Duration) (net.Conn, error) {
-			conn, err := dialWithIdleTimeout(addr, p.Stall)
+			conn, err := dialWithIdleTimeout(addr, p.StallTimeout)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/node/pages_test.go
+++ b/internal/node/pages_test.go
@@ -42,7 +42,7 @@
 	now := time.Now()
 	s := &catalogSyncer{countBytes: func(traffic.Purpose, string, int) {},
 		log: zap.NewNop(), met: newCatalogMetrics(prometheus.NewRegistry()),
-		follower: follow.New(now, follow.Options{VM: "a", Bound: time.Second, Decoder: stubDecoder{}, Random: rand.New(rand.NewPCG(1, 1))}),
+		follower: follow.New(now, follow.Options{VM: "a", ChangeBound: time.Second, Decoder: stubDecoder{}, Random: rand.New(rand.NewPCG(1, 1))}),
 	}
 	for i, text := range texts {
 		revision := uint64(i + 1)
@@ -84,7 +84,7 @@
 }
 
 func pullFrom(address string, after uint64) follow.Pull {
-	return follow.Pull{ID: 1, Address: address, After: catalog.Position{Revision: after}, Stall: 10 * time.Second, Timeout: 10 * time.Second}
+	return follow.Pull{ID: 1, Address: address, After: catalog.Position{Revision: after}, StallTimeout: 10 * time.Second, Timeout: 10 * time.Second}
 }
 
 // A requester that holds a version which the server also has receives only the
@@ -173,7 +173,7 @@
 	server := newTestSyncer(documentText(1), documentText(2))
 	address := serveLoopback(t, server.servePeer)
 	fetchText := func(after catalog.Position) string {
-		page, err := newTestSyncer().fetchCatalog(follow.Pull{ID: 1, Address: address, After: after, Stall: 10 * time.Second, Timeout: 10 * time.Second})
+		page, err := newTestSyncer().fetchCatalog(follow.Pull{ID: 1, Address: address, After: after, StallTimeout: 10 * time.Second, Timeout: 10 * time.Second})
 		if err != nil || len(page.Items) != 1 {
 			t.Fatalf("%v: %v", after, err)
 		}
--- a/internal/node/stall_test.go
+++ b/internal/node/stall_test.go
@@ -48,7 +48,7 @@
 	}
 	defer ln.Close()
 	p := pullFrom(ln.Addr().String(), 0)
-	p.Stall, p.Timeout = 50*time.Millisecond, time.Hour
+	p.StallTimeout, p.Timeout = 50*time.Millisecond, time.Hour
 	if _, err := newTestSyncer().fetchCatalog(p); err == nil {
 		t.Error("fetchCatalog succeeded with a silent peer")
 	}
--- a/internal/node/syncer.go
+++ b/internal/node/syncer.go
@@ -164,17 +164,17 @@
 }
 
 func (s *catalogSyncer) list(l follow.List) {
-	at, items, err := s.store.List(l.Stale)
+	at, items, err := s.store.List(l.AllowStale)
 	s.recordRead("list", err)
 	if err == nil {
-		s.log.Info("store: listed", zap.Stringer("position", at), zap.Int("items", len(items)), zap.Bool("stale", l.Stale))
+		s.log.Info("store: listed", zap.Stringer("position", at), zap.Int("items", len(items)), zap.Bool("stale", l.AllowStale))
 		s.recordPosition("list", at)
 	}
 	s.step(func(f *follow.Follower, now time.Time) []follow.Action {
 		switch {
 		case err != nil:
 			return f.ReadFailed(now, false)
-		case l.Stale:
+		case l.AllowStale:
 			return f.ListedStale(now, at, items)
 		default:
 			return f.Listed(now, at, items)
@@ -246,7 +246,7 @@
 func (s *catalogSyncer) ignoredClaims() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.follower.Disbelieved()
+	return s.follower.RejectedClaims()
 }
 
 // pull requests catalog changes from a peer and passes the result to the follower.
@@ -309,14 +309,14 @@
 func (s *catalogSyncer) revisionsBehind() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return float64(s.follower.Lead().Above(s.follower.State().Position()))
+	return float64(s.follower.Lead().RevisionsAhead(s.follower.State().Position()))
 }
 
 // setBound changes the time within which a published change must be in force.
 func (s *catalogSyncer) setBound(bound time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.follower.SetBound(bound)
+	s.follower.SetChangeBound(bound)
 }
 
 // onAnnouncement handles the catalog position in a peer's datagram. A position without
@@ -334,7 +334,7 @@
 func (s *catalogSyncer) onPeerPosition(peer *pb.MemberUpdate, at catalog.Position, age time.Duration) {
 	from := follow.Peer{VM: peer.Vm, Region: peer.Region, DataCentre: peer.DataCentre, Address: peer.PeerAddress}
 	s.step(func(f *follow.Follower, now time.Time) []follow.Action {
-		return f.Heard(now, from, at, age)
+		return f.PeerAnnounced(now, from, at, age)
 	})
 }
 
--- a/internal/replica/restart_test.go
+++ b/internal/replica/restart_test.go
@@ -11,7 +11,7 @@
 // given time.
 func restarted(u *catalog.Upstream, cold time.Duration) *catalog.Upstream {
 	next := *u
-	next.Born = u.Born.Add(time.Minute)
+	next.StartedAt = u.StartedAt.Add(time.Minute)
 	next.ColdFor = cold
 	return &next
 }
@@ -20,7 +20,7 @@
 func newDatedFixture() *fixture {
 	f := newFixture()
 	for _, u := range f.replicas {
-		u.Born = start
+		u.StartedAt = start
 	}
 	return f
 }
--- a/internal/spread/fleet.go
+++ b/internal/spread/fleet.go
@@ -126,7 +126,7 @@
 	if opts.Restart {
 		// The VMs get to know each other a little later, as their seeds do not answer.
 		for _, v := range fl.vms {
-			fl.later(v, aloneAfter, func() []follow.Action { return v.f.Alone(fl.now) })
+			fl.later(v, aloneAfter, func() []follow.Action { return v.f.SeedsEmpty(fl.now) })
 		}
 		return fl
 	}
@@ -141,7 +141,7 @@
 	v := &vm{
 		peer: follow.Peer{VM: name, Region: region, DataCentre: dataCentre, Address: name},
 		f: follow.New(startTime, follow.Options{
-			VM: name, Place: locality.Place{Region: region, DataCentre: dataCentre}, Bound: fl.opts.Bound, FirstStart: !fl.opts.Restart, Seed: i < seeds, Decoder: decoder{},
+			VM: name, Place: locality.Place{Region: region, DataCentre: dataCentre}, ChangeBound: fl.opts.Bound, FirstStart: !fl.opts.Restart, Seed: i < seeds, Decoder: decoder{},
 			Random: rand.New(rand.NewPCG(fl.opts.Seed, uint64(i))),
 		}),
 	}
@@ -392,14 +392,14 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case follow.List:
-			fl.list(v, a.Stale)
+			fl.list(v, a.AllowStale)
 		case follow.Watch:
 			fl.watch(v, a, fl.now.Add(a.Wait))
 			fl.traffic.StoreCalls++
 		case follow.Pull:
 			fl.pull(v, a)
 		case follow.Announce:
-			fl.announce(v, a.Wide)
+			fl.announce(v, a.AllRegions)
 		}
 	}
 }
@@ -454,7 +454,7 @@
 	if v.f.Confirmed().IsZero() {
 		age = follow.Unconfirmed
 	}
-	fl.later(to, hop, func() []follow.Action { return to.f.Heard(fl.now, v.peer, at, age) })
+	fl.later(to, hop, func() []follow.Action { return to.f.PeerAnnounced(fl.now, v.peer, at, age) })
 }
 
 // later gives an answer after a while, unless the VM is dead by then.
--- a/internal/spread/links.go
+++ b/internal/spread/links.go
@@ -127,7 +127,7 @@
 		return v.f.PullFailed(fl.now, p.ID)
 	}
 	if from.dead {
-		fl.later(v, p.Stall, fail)
+		fl.later(v, p.StallTimeout, fail)
 		return
 	}
 	page := from.f.State().PageSince(p.After)
--- a/internal/standalone/deployment.go
+++ b/internal/standalone/deployment.go
@@ -205,6 +205,6 @@
 	}
 	return catalog.Upstream{
 		ID: u.Id, Service: u.Service, Address: u.Address, DataCentre: u.DataCentre,
-		Slots: int(u.Slots), Leaving: u.Leaving, Registered: it.Created,
+		Slots: int(u.Slots), Leaving: u.Leaving, RegisteredRevision: it.Created,
 	}, nil
 }
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -51,7 +51,7 @@
 // view returns a view with one upstream that started at the given Unix time and is cold for
 // coldFor.
 func view(startedAt int64, coldFor time.Duration, evacuated bool) *catalog.View {
-	u := &catalog.Upstream{ID: "u", DataCentre: "x", Born: time.Unix(startedAt, 0), ColdFor: coldFor}
+	u := &catalog.Upstream{ID: "u", DataCentre: "x", StartedAt: time.Unix(startedAt, 0), ColdFor: coldFor}
 	return &catalog.View{Upstreams: map[string]*catalog.Upstream{"u": u}, Evacuated: map[string]bool{"x": evacuated}}
 }
 
