--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -254,7 +254,7 @@
 	for s := range r.scenario.on.shards {
 		for p := range r.scenario.on.replicas {
 			if match(s, p) {
-				r.fleet.Change(upstreamID(service, s, p), edit)
+				r.fleet.EditUpstream(upstreamID(service, s, p), edit)
 			}
 		}
 	}
--- a/internal/daemon/backend.go
+++ b/internal/daemon/backend.go
@@ -20,7 +20,7 @@
 	if d.stopping.Load() {
 		return "this VM is stopping"
 	}
-	if d.gossip.InDoubt(time.Now()) {
+	if d.gossip.Revalidating(time.Now()) {
 		return "this process was paused and has not heard from its peers since"
 	}
 	if why := d.config.notReady(); why != "" {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -147,7 +147,7 @@
 		Ledger:        dispatch.DefaultLedger(),
 		Pause:         owner.DefaultPause(),
 		Dial:          d.listeners.DialUpstream,
-		InDoubt:       d.gossip.InDoubt,
+		InDoubt:       d.gossip.Revalidating,
 	})
 	d.pool = peer.NewPool(peer.Options{
 		Log:      d.log,
--- a/internal/daemon/forward.go
+++ b/internal/daemon/forward.go
@@ -161,7 +161,7 @@
 // handleRequest runs a forwarded request in its own goroutine. That is affordable because
 // forwards arrive at the rate of callers' requests, not of sub-requests.
 func (f *forwarder) handleRequest(r *pb.Forward, reply func(*pb.Frame)) {
-	if f.d.gossip.InDoubt(time.Now()) {
+	if f.d.gossip.Revalidating(time.Now()) {
 		replyForward(r, refuseForward(r, "the VM that the key names was paused and asks its peers first"), false, reply)
 		return
 	}
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -35,12 +35,12 @@
 			Seed:  rand.Uint64(),
 		},
 		Callbacks: gossip.Callbacks{
-			View:        d.applyView,
-			Revalidate:  d.revalidate,
-			Revalidated: d.revalidated,
-			Superseded:  d.superseded,
-			Quarantine:  d.poison.HandleEntries,
-			Heard:       func(a gossip.Announcement) { d.noteRevision(a.From.PeerAddress, a.Revision) },
+			View:         d.applyView,
+			Revalidate:   d.revalidate,
+			Revalidated:  d.revalidated,
+			Superseded:   d.superseded,
+			Quarantine:   d.poison.HandleEntries,
+			Announcement: func(a gossip.Announcement) { d.noteRevision(a.Sender.PeerAddress, a.Revision) },
 		},
 	})
 }
--- a/internal/fleet/crash.go
+++ b/internal/fleet/crash.go
@@ -98,8 +98,8 @@
 // Heal removes all cuts between VMs and delivers held stream data.
 func (f *Fleet) Heal() { f.network.heal() }
 
-// Change edits the behaviour of the upstream with the given "service/id".
-func (f *Fleet) Change(id string, edit func(*standin.Behaviour)) {
+// EditUpstream edits the behaviour of the upstream with the given "service/id".
+func (f *Fleet) EditUpstream(id string, edit func(*standin.Behaviour)) {
 	f.Upstreams[id].Change(edit)
 }
 
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -38,8 +38,8 @@
 	// View receives each changed view. Views may arrive out of order: compare
 	// their Version.
 	View func(*membership.View)
-	// Heard receives the configuration position that a peer announces; may be nil.
-	Heard func(Announcement)
+	// Announcement receives the configuration position that a peer announces; may be nil.
+	Announcement func(Announcement)
 	// Quarantine receives the quarantine entries that a peer sends; may be nil.
 	Quarantine func(peer string, entries []*pb.QuarantineEntry)
 	// Revalidate reports that this process was paused: the owner must not start
@@ -55,7 +55,7 @@
 
 // Announcement is the configuration position in a peer's datagram.
 type Announcement struct {
-	From *pb.MemberUpdate
+	Sender *pb.MemberUpdate
 	// Era and Revision are the sender's position in the store's history.
 	Era, Revision uint64
 	// Age is the time since the store confirmed the revision; 0 when the sender
@@ -70,10 +70,10 @@
 	Node      membership.Options
 	Keys      []*pb.PeerKey
 	Callbacks Callbacks
-	// Sent receives the size of each sent datagram and the location of its
+	// OnSend receives the size of each sent datagram and the location of its
 	// receiver, which is empty when unknown; may be nil.
-	Sent func(region, dataCentre string, bytes int)
-	Now  func() time.Time
+	OnSend func(region, dataCentre string, bytes int)
+	Now    func() time.Time
 }
 
 // Driver runs one membership.Node. It is safe for concurrent use.
@@ -130,11 +130,11 @@
 	return group.Wait()
 }
 
-// InDoubt reports whether new work is forbidden at now because this process was
+// Revalidating reports whether new work is forbidden at now because this process was
 // paused and no peer has answered since. It compares now with the last tick, so
 // that a goroutine that wakes before the ticker detects the pause too. It takes
 // no lock.
-func (d *Driver) InDoubt(now time.Time) bool {
+func (d *Driver) Revalidating(now time.Time) bool {
 	last := d.lastTick.Load()
 	return d.inDoubt.Load() || last != nil && pause.Gap(*last, now) >= d.pauseThreshold
 }
@@ -206,8 +206,8 @@
 	return d.node.Self()
 }
 
-// Learn merges a peer's list of members; it drops invalid updates.
-func (d *Driver) Learn(updates []*pb.MemberUpdate) {
+// MergeUpdates merges a peer's list of members; it drops invalid updates.
+func (d *Driver) MergeUpdates(updates []*pb.MemberUpdate) {
 	good, dropped := filterUpdates(d.opts.Node.Self, updates)
 	d.reportDropped(dropped)
 	d.step(func(now time.Time) membership.Actions { return d.node.Learn(now, good) })
@@ -285,7 +285,7 @@
 		return
 	}
 	d.met.received.Inc()
-	if f := d.opts.Callbacks.Heard; f != nil {
+	if f := d.opts.Callbacks.Announcement; f != nil {
 		f(Announcement{m.Sender, m.StoreEra, m.ConfigRevision, time.Duration(m.ConfirmedAgeMs) * time.Millisecond})
 	}
 	if f := d.opts.Callbacks.Quarantine; f != nil && len(m.Quarantine) > 0 {
@@ -363,7 +363,7 @@
 		}
 		d.met.sent.Inc()
 		d.met.sentBytes.Add(float64(len(p.data)))
-		if f := d.opts.Sent; f != nil {
+		if f := d.opts.OnSend; f != nil {
 			f(p.region, p.dataCentre, len(p.data))
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -186,7 +186,7 @@
 	d.registerGauges(opts.Registry)
 	opts.Registry.MustRegister(opts.Traffic)
 	d.syncer.memberUpdates = d.gossip.Updates
-	d.syncer.learnMembers = d.gossip.Learn
+	d.syncer.learnMembers = d.gossip.MergeUpdates
 	d.syncer.poison = d.engine.PoisonGuard()
 	d.syncer.self = d.gossip.Self
 	d.syncer.view = d.members.Load
@@ -228,7 +228,7 @@
 		Log:      d.log,
 		Registry: d.registry,
 		Now:      time.Now,
-		Sent: func(region, dataCentre string, bytes int) {
+		OnSend: func(region, dataCentre string, bytes int) {
 			d.traffic.Add(traffic.Gossip, d.place().To(region, dataCentre), bytes)
 		},
 		Keys: []*pb.PeerKey{{Id: "open", Secret: gossipKey}},
@@ -253,12 +253,12 @@
 			},
 		},
 		Callbacks: gossip.Callbacks{
-			View:        d.applyMembers,
-			Heard:       d.syncer.onAnnouncement,
-			Quarantine:  d.engine.PoisonGuard().HandleEntries,
-			Revalidate:  func() { d.log.Warn("gossip: this process was paused") },
-			Revalidated: func(alone bool) { d.log.Info("gossip: peers reachable again", zap.Bool("alone", alone)) },
-			Superseded:  func(uint64) {},
+			View:         d.applyMembers,
+			Announcement: d.syncer.onAnnouncement,
+			Quarantine:   d.engine.PoisonGuard().HandleEntries,
+			Revalidate:   func() { d.log.Warn("gossip: this process was paused") },
+			Revalidated:  func(alone bool) { d.log.Info("gossip: peers reachable again", zap.Bool("alone", alone)) },
+			Superseded:   func(uint64) {},
 		},
 	})
 }
--- a/internal/node/syncer.go
+++ b/internal/node/syncer.go
@@ -326,7 +326,7 @@
 	if age == 0 {
 		age = follow.Unconfirmed
 	}
-	s.onPeerPosition(a.From, catalog.Position{Era: a.Era, Revision: a.Revision}, age)
+	s.onPeerPosition(a.Sender, catalog.Position{Era: a.Era, Revision: a.Revision}, age)
 }
 
 // onPeerPosition passes a peer's position, and the time since the store confirmed it,
