--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -105,7 +105,7 @@
 	// limiters limits the queries in flight, keyed by the first shard of their route.
 	limiters map[string]*congestion.Limiter
 	// draws splits the requests of each route by the weights of its targets.
-	draws map[string]*routing.Draws
+	draws map[string]*routing.Sequence
 	sends uint64
 }
 
@@ -120,7 +120,7 @@
 		replicas:   replica.New(opts.Place, opts.Random),
 		budgets:    map[string]*retrybudget.Budget{},
 		limiters:   map[string]*congestion.Limiter{},
-		draws:      map[string]*routing.Draws{},
+		draws:      map[string]*routing.Sequence{},
 	}
 	e.warmups.table = warmup.New()
 	e.shares.Store(&Shares{VMs: 1, IngressVMs: 1, Ingress: true})
@@ -388,7 +388,7 @@
 	defer e.mu.Unlock()
 	d := e.draws[route]
 	if d == nil {
-		d = routing.NewDraws(e.opts.Random.Float64())
+		d = routing.NewSequence(e.opts.Random.Float64())
 		e.draws[route] = d
 	}
 	return d.Next()
--- a/internal/edge/log.go
+++ b/internal/edge/log.go
@@ -50,7 +50,7 @@
 	}
 	if r.Route != nil {
 		fields = append(fields, zap.String("route", r.Route.Name), zap.Duration("objective", r.Route.Objective))
-		if r.Route.Homes.Bound() {
+		if r.Route.Homes.Restricted() {
 			fields = append(fields, zap.Strings("homes", r.Route.Homes.Regions()))
 		}
 	} else {
--- a/internal/edge/policy.go
+++ b/internal/edge/policy.go
@@ -69,7 +69,7 @@
 
 // inHomes returns the upstreams that are in the given home regions.
 func (e *Engine) inHomes(upstreams []*catalog.Upstream, homes routing.Homes) []*catalog.Upstream {
-	if !homes.Bound() {
+	if !homes.Restricted() {
 		return upstreams
 	}
 	var out []*catalog.Upstream
@@ -92,7 +92,7 @@
 	if current == nil {
 		return planned
 	}
-	return planned.And(current.Homes)
+	return planned.Intersect(current.Homes)
 }
 
 // regionOf returns the region of an upstream, or "" if the settings do not name its data
--- a/internal/edge/warm.go
+++ b/internal/edge/warm.go
@@ -27,14 +27,14 @@
 func (w *warmupTracker) update(now time.Time, v *catalog.View) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.table.Keep(now, v)
+	w.table.Update(now, v)
 }
 
 // suspectRestart records a sign that an upstream may have restarted.
 func (w *warmupTracker) suspectRestart(now time.Time, u *catalog.Upstream) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.table.Doubt(now, u)
+	w.table.MarkUnverified(now, u)
 }
 
 // state returns whether an upstream is warm; check says whether the caller must check its
@@ -43,7 +43,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s = w.table.State(now, u, confirmed)
-	return s, s == warmup.Doubtful && w.table.Check(now, u)
+	return s, s == warmup.Unverified && w.table.BeginCheck(now, u)
 }
 
 // stateByEntry is like state for an upstream whose service has no health path.
@@ -79,7 +79,7 @@
 		return routing.Service{}, false
 	}
 	s, ok := v.Table.Service(service)
-	return s, ok && s.ColdBound
+	return s, ok && s.ColdLimited
 }
 
 // healthAnswered records the result of a health check that started at begun.
@@ -96,7 +96,7 @@
 	}
 	e.warmups.mu.Lock()
 	defer e.warmups.mu.Unlock()
-	e.warmups.table.Checked(e.now(), begun, u, h.ColdFor)
+	e.warmups.table.RecordHealth(e.now(), begun, u, h.ColdFor)
 }
 
 // timeUntilWarm returns the shortest time until one of the upstreams is warm.
--- a/internal/edge/warm_test.go
+++ b/internal/edge/warm_test.go
@@ -75,7 +75,7 @@
 	})
 	c.upstream = &catalog.Upstream{ID: "u", Service: "s", DataCentre: "a", Slots: 4, Address: ln.Addr().String(), StartedAt: time.Unix(1, 0)}
 	config := &routing.Config{
-		Services: []routing.Service{{Name: "s", HealthPath: healthPath, ColdBound: true}},
+		Services: []routing.Service{{Name: "s", HealthPath: healthPath, ColdLimited: true}},
 		Routes:   []routing.Route{{Name: "one", Host: "h", Prefix: "/", Idempotent: true, Objective: time.Second, Attempts: 2, Targets: []routing.Target{{Service: "s", Weight: 1}}}},
 	}
 	c.engine.SetView(time.Now(), &catalog.View{
--- a/internal/explain/bytes.go
+++ b/internal/explain/bytes.go
@@ -32,7 +32,7 @@
 		}
 		carrying, _ := fields[traffic.FieldCarrying].(bool)
 		for name, value := range fields {
-			purpose, distance, ok := traffic.Field(name)
+			purpose, distance, ok := traffic.SplitField(name)
 			n, isNumber := value.(float64)
 			if ok && isNumber {
 				counted[Flow{Carrying: carrying, Purpose: purpose, Distance: distance}] += uint64(n)
--- a/internal/membership/directory_test.go
+++ b/internal/membership/directory_test.go
@@ -89,7 +89,7 @@
 func (d *directory) staleAnswer(p *process) string {
 	for region := range directoryCentres / 2 {
 		caller := placement.Caller{Region: fmt.Sprint("region-", region), DataCentre: fmt.Sprint("dc-", 2*region)}
-		for _, a := range placement.Choose(p.node.View().Members, caller, placement.Bounds{Most: 8, Least: 3, Work: 10_000}) {
+		for _, a := range placement.Choose(p.node.View().Members, caller, placement.Bounds{MaxVMs: 8, MinVMs: 3, TargetCapacity: 10_000}) {
 			if since, gone := d.gone[a]; gone && d.now.Sub(since) > goneAfter {
 				return fmt.Sprintf("%s names %s to callers in %s, gone for %v", p.name, a, caller.Region, d.now.Sub(since))
 			}
@@ -152,7 +152,7 @@
 	for _, p := range d.processes {
 		if !p.down {
 			caller := placement.Caller{Region: fmt.Sprint("region-", region)}
-			return len(placement.Choose(p.node.View().Members, caller, placement.Bounds{Most: 8, Least: 3, Work: 10_000}))
+			return len(placement.Choose(p.node.View().Members, caller, placement.Bounds{MaxVMs: 8, MinVMs: 3, TargetCapacity: 10_000}))
 		}
 	}
 	return 0
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -336,9 +336,9 @@
 	capacity := uint32(0)
 	switch {
 	case d.ready() && d.strained.Load():
-		capacity = placement.StrainedCapacity
+		capacity = placement.DegradedCapacity
 	case d.ready():
-		capacity = uint32(max(placement.StrainedCapacity+1, 1000*d.settings.Load().Cores))
+		capacity = uint32(max(placement.DegradedCapacity+1, 1000*d.settings.Load().Cores))
 	}
 	d.gossip.SetCapacity(capacity)
 }
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -151,7 +151,7 @@
 		// of a core.
 		work = 1000
 	)
-	return placement.Bounds{Most: most, Least: least, Work: work, Upstreams: *d.upstreamCounts.Load()}
+	return placement.Bounds{MaxVMs: most, MinVMs: least, TargetCapacity: work, Upstreams: *d.upstreamCounts.Load()}
 }
 
 // countUpstreams returns the number of upstreams per data centre. Evacuated data
--- a/internal/node/traffic.go
+++ b/internal/node/traffic.go
@@ -35,6 +35,6 @@
 // counts.
 func (d *Daemon) logTrafficSince(previous traffic.Counts) traffic.Counts {
 	counts := d.traffic.Counts()
-	d.log.Info(traffic.Message, zap.Bool(traffic.FieldCarrying, d.carrying.Load()), zap.Inline(counts.Minus(previous)))
+	d.log.Info(traffic.Message, zap.Bool(traffic.FieldCarrying, d.carrying.Load()), zap.Inline(counts.Sub(previous)))
 	return counts
 }
--- a/internal/owner/executor.go
+++ b/internal/owner/executor.go
@@ -240,7 +240,7 @@
 		ServiceUs: uint32(end.Sub(start).Microseconds()),
 		Detail:    out.Detail,
 
-		UpstreamEnded: out.Ended,
+		UpstreamEnded: out.ProcessEnded,
 	})
 	e.refuseAll(refused)
 	e.reportStatus()
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -14,9 +14,9 @@
 	"sycamorekeel.example/sycamorekeel/internal/routing"
 )
 
-// StrainedCapacity is the capacity that a VM announces when it has become slow. Callers
+// DegradedCapacity is the capacity that a VM announces when it has become slow. Callers
 // are sent to such a VM only if no other VM is available to them.
-const StrainedCapacity = 1
+const DegradedCapacity = 1
 
 // Caller describes a caller and its request to the directory.
 type Caller struct {
@@ -40,14 +40,14 @@
 	// message with its caller and dozens with upstreams, so VMs in the data centres
 	// of the upstreams are preferred.
 	Upstreams map[string]int
-	// Most is the maximum number of VMs in an answer.
-	Most int
-	// Work is the total capacity that the VMs in an answer should have, in
+	// MaxVMs is the maximum number of VMs in an answer.
+	MaxVMs int
+	// TargetCapacity is the total capacity that the VMs in an answer should have, in
 	// thousandths of a core.
-	Work uint32
-	// Least is the minimum number of VMs in an answer if there are enough. A caller
+	TargetCapacity uint32
+	// MinVMs is the minimum number of VMs in an answer if there are enough. A caller
 	// whose only VM is lost has to wait until it may query the directory again.
-	Least int
+	MinVMs int
 }
 
 // Choose returns the caller addresses of the VMs that the caller should use, best first. It
@@ -72,7 +72,7 @@
 			cmp.Compare(weight(y, regionHash), weight(x, regionHash)),
 		)
 	})
-	promoteSecondDataCentre(candidates, b.Least, func(m *membership.Member) bool {
+	promoteSecondDataCentre(candidates, b.MinVMs, func(m *membership.Member) bool {
 		first := candidates[0]
 		return m.DataCentre != first.DataCentre && tier(m, c) == tier(first, c) &&
 			fewUpstreams[m.DataCentre] == fewUpstreams[first.DataCentre] && 2*m.Capacity >= first.Capacity
@@ -81,7 +81,7 @@
 	var capacity uint32
 	for i, m := range candidates {
 		lowerTier := tier(m, c) > tier(candidates[0], c)
-		if len(out) >= b.Most || len(out) >= b.Least && capacity >= b.Work || len(out) > 0 && lowerTier {
+		if len(out) >= b.MaxVMs || len(out) >= b.MinVMs && capacity >= b.TargetCapacity || len(out) > 0 && lowerTier {
 			break
 		}
 		out = append(out, candidates[i].CallerAddress)
@@ -150,7 +150,7 @@
 // in the same tier.
 func tier(m *membership.Member, c Caller) int {
 	switch {
-	case m.Capacity <= StrainedCapacity:
+	case m.Capacity <= DegradedCapacity:
 		return 2
 	case m.Region == c.Region:
 		return 0
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -23,7 +23,7 @@
 	dead    = pb.MemberState_DEAD
 )
 
-var bounds = Bounds{Most: 64, Least: 2, Work: 800, Upstreams: map[string]int{"b": 9}}
+var bounds = Bounds{MaxVMs: 64, MinVMs: 2, TargetCapacity: 800, Upstreams: map[string]int{"b": 9}}
 
 func TestChoose(t *testing.T) {
 	for _, c := range []struct {
@@ -41,8 +41,8 @@
 		{"leaving, dead and unready excluded",
 			[]membership.Member{vm("l", "r/a", 800, leaving), vm("d", "r/a", 800, dead), vm("u", "r/a", 0, alive), vm("ok", "r/a", 100, alive)}, "ok"},
 		{"suspects only if there are no others", []membership.Member{vm("s", "r/a", 800, suspect), vm("ok", "s/x", 100, alive)}, "ok"},
-		{"strained only if there are no others", []membership.Member{vm("st", "r/a", StrainedCapacity, alive), vm("far", "s/x", 100, alive)}, "far"},
-		{"strained rather than none", []membership.Member{vm("st", "r/a", StrainedCapacity, alive)}, "st"},
+		{"strained only if there are no others", []membership.Member{vm("st", "r/a", DegradedCapacity, alive), vm("far", "s/x", 100, alive)}, "far"},
+		{"strained rather than none", []membership.Member{vm("st", "r/a", DegradedCapacity, alive)}, "st"},
 		{"suspects rather than none", []membership.Member{vm("s", "r/a", 800, suspect), vm("d", "r/a", 800, dead)}, "s"},
 	} {
 		got := Choose(c.members, Caller{Region: "r"}, bounds)
@@ -57,7 +57,7 @@
 // their requests.
 func TestCallersAreSentToTheirRegionOrToAHome(t *testing.T) {
 	own, home, other := vm("own", "r/a", 100, alive), vm("home", "h/a", 100, alive), vm("other", "o/a", 900, alive)
-	strained := vm("strained", "r/a", StrainedCapacity, alive)
+	strained := vm("strained", "r/a", DegradedCapacity, alive)
 	suspected := vm("suspected", "h/a", 100, suspect)
 	for _, c := range []struct {
 		name    string
@@ -71,7 +71,7 @@
 		{"suspects in a home region before VMs outside of the homes", []membership.Member{suspected, other}, "suspected"},
 		{"none outside of the homes", []membership.Member{other}, ""},
 	} {
-		got := Choose(c.members, Caller{Region: "r", Homes: routing.HomesIn("h")}, bounds)
+		got := Choose(c.members, Caller{Region: "r", Homes: routing.NewHomes("h")}, bounds)
 		if strings.Join(got, " ") != c.want {
 			t.Errorf("%s: %v, want %s", c.name, got, c.want)
 		}
@@ -123,7 +123,7 @@
 	for _, name := range []string{"a1", "a2", "a3", "b1", "b2", "b3"} {
 		members = append(members, vm(name, "r/"+name[:1], 800, alive))
 	}
-	b := Bounds{Most: 64, Least: 3, Work: 1000}
+	b := Bounds{MaxVMs: 64, MinVMs: 3, TargetCapacity: 1000}
 	for _, upstreams := range []map[string]int{{"a": 18, "b": 18}, {"a": 18, "b": 12}} {
 		b.Upstreams = upstreams
 		for _, region := range []string{"r", "s", "t"} {
--- a/internal/routing/draws_test.go
+++ b/internal/routing/draws_test.go
@@ -53,9 +53,9 @@
 		for _, vms := range []int{1, 20, 300} {
 			for seed := range uint64(10) {
 				random := rand.New(rand.NewPCG(seed, uint64(vms)))
-				draws := make([]*Draws, vms)
+				draws := make([]*Sequence, vms)
 				for i := range draws {
-					draws[i] = NewDraws(random.Float64())
+					draws[i] = NewSequence(random.Float64())
 				}
 				got := deviation(r, vms, random, func(vm int) float64 { return draws[vm].Next() })
 				independent := deviation(r, vms, random, func(int) float64 { return random.Float64() })
--- a/internal/routing/homes.go
+++ b/internal/routing/homes.go
@@ -9,11 +9,11 @@
 	regions    []string
 }
 
-// HomesIn returns a set of home regions. Without regions it is unrestricted.
-func HomesIn(regions ...string) Homes { return Homes{len(regions) > 0, regions} }
+// NewHomes returns a set of home regions. Without regions it is unrestricted.
+func NewHomes(regions ...string) Homes { return Homes{len(regions) > 0, regions} }
 
-// Bound reports whether the set is restricted to its regions.
-func (h Homes) Bound() bool { return h.restricted }
+// Restricted reports whether the set is restricted to its regions.
+func (h Homes) Restricted() bool { return h.restricted }
 
 // Regions returns the home regions. The result is empty if the set is unrestricted or allows
 // no region; Bound distinguishes the two.
@@ -25,8 +25,8 @@
 	return !h.restricted || region != "" && slices.Contains(h.regions, region)
 }
 
-// And returns the intersection of two sets, which may allow no region.
-func (h Homes) And(other Homes) Homes {
+// Intersect returns the intersection of two sets, which may allow no region.
+func (h Homes) Intersect(other Homes) Homes {
 	switch {
 	case !h.restricted:
 		return other
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -71,9 +71,9 @@
 	// HealthPath is the path of the upstreams' health endpoint; empty if they have
 	// none.
 	HealthPath string
-	// ColdBound says that an upstream can serve only a few requests per second while
+	// ColdLimited says that an upstream can serve only a few requests per second while
 	// it is cold.
-	ColdBound bool
+	ColdLimited bool
 }
 
 // Limits holds the maximum sizes of a request; 0 means unlimited.
--- a/internal/traffic/log.go
+++ b/internal/traffic/log.go
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// Field splits the key of a count in the log line into purpose and distance. ok is false if
+// SplitField splits the key of a count in the log line into purpose and distance. ok is false if
 // the key does not belong to a count.
-func Field(key string) (purpose, distance string, ok bool) {
+func SplitField(key string) (purpose, distance string, ok bool) {
 	return strings.Cut(key, separator)
 }
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -55,8 +55,8 @@
 	Opened [distanceCount]uint64
 }
 
-// Minus returns the difference between c and earlier counts of the same meter.
-func (c Counts) Minus(earlier Counts) Counts {
+// Sub returns the difference between c and earlier counts of the same meter.
+func (c Counts) Sub(earlier Counts) Counts {
 	for p := range c.Bytes {
 		for d := range c.Bytes[p] {
 			c.Bytes[p][d] -= earlier.Bytes[p][d]
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -20,7 +20,7 @@
 	m.Add(Part, locality.Near, 7)
 	m.Opened(locality.Regional)
 	enc := zapcore.NewMapObjectEncoder()
-	if err := m.Counts().Minus(before).MarshalLogObject(enc); err != nil {
+	if err := m.Counts().Sub(before).MarshalLogObject(enc); err != nil {
 		t.Fatal(err)
 	}
 	want := map[string]uint64{"gossip.far": 40, "part.data_centre": 7, "connections.region": 1}
@@ -31,7 +31,7 @@
 		if enc.Fields[name] != n {
 			t.Errorf("%s is %v, want %d", name, enc.Fields[name], n)
 		}
-		if _, _, ok := Field(name); !ok {
+		if _, _, ok := SplitField(name); !ok {
 			t.Errorf("Field does not recognise %s", name)
 		}
 	}
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -74,8 +74,8 @@
 	Draining bool
 	// Cancelled says that the upstream aborted the request while it was running.
 	Cancelled bool
-	// Ended says that the upstream's process ended while it had the request.
-	Ended bool
+	// ProcessEnded says that the upstream's process ended while it had the request.
+	ProcessEnded bool
 	// Detail describes a failure.
 	Detail string
 }
@@ -201,7 +201,7 @@
 	req.SetBodyRaw(call.Body)
 	if err := c.send(req, resp, call.Deadline); err != nil {
 		out := errorOutcome(err)
-		out.Ended = out.Result == pb.Result_UNKNOWN && !errors.Is(err, fasthttp.ErrTimeout) && c.processEnded()
+		out.ProcessEnded = out.Result == pb.Result_UNKNOWN && !errors.Is(err, fasthttp.ErrTimeout) && c.processEnded()
 		return out
 	}
 	return replyOutcome(resp, call.Snapshot)
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -81,7 +81,7 @@
 			out := client(t, u.Address(), 4).Do(time.Now(), call("r1", testTimeout))
 			g.Expect(out.Result).To(Equal(c.want), out.Detail)
 			g.Expect(out.Draining).To(Equal(c.draining))
-			g.Expect(out.Ended).To(Equal(c.ended))
+			g.Expect(out.ProcessEnded).To(Equal(c.ended))
 			g.Expect(u.RunsOf("r1")).To(Equal(c.ran))
 		})
 	}
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -39,9 +39,9 @@
 	Warm State = iota
 	// Cold means that it is warming up and may not receive requests.
 	Cold
-	// Doubtful means that it may have restarted. It may not receive requests until
+	// Unverified means that it may have restarted. It may not receive requests until
 	// a health check or, for StateByEntry, its entry shows that it is warm.
-	Doubtful
+	Unverified
 )
 
 // record holds what is known about one upstream since its last start.
@@ -61,10 +61,10 @@
 // New returns an empty table.
 func New() *Table { return &Table{map[string]*record{}} }
 
-// Keep updates the table from a view and drops the upstreams that are not in it. It marks
+// Update updates the table from a view and drops the upstreams that are not in it. It marks
 // upstreams in an evacuated data centre as Doubtful, since they may become cold while they
 // receive no requests.
-func (t *Table) Keep(now time.Time, v *catalog.View) {
+func (t *Table) Update(now time.Time, v *catalog.View) {
 	for id := range t.records {
 		if v.Upstreams[id] == nil {
 			delete(t.records, id)
@@ -86,16 +86,16 @@
 	}
 }
 
-// Doubt records a sign that an upstream has restarted.
-func (t *Table) Doubt(now time.Time, u *catalog.Upstream) {
+// MarkUnverified records a sign that an upstream has restarted.
+func (t *Table) MarkUnverified(now time.Time, u *catalog.Upstream) {
 	if r := t.records[u.ID]; r != nil {
 		r.suspectedAt = now
 	}
 }
 
-// Checked records a response of an upstream's health path to a check that started at begun.
+// RecordHealth records a response of an upstream's health path to a check that started at begun.
 // coldFor is the remaining warm-up time that it reports, or 0.
-func (t *Table) Checked(now, begun time.Time, u *catalog.Upstream, coldFor time.Duration) {
+func (t *Table) RecordHealth(now, begun time.Time, u *catalog.Upstream, coldFor time.Duration) {
 	r := t.records[u.ID]
 	if r == nil {
 		return
@@ -112,13 +112,13 @@
 	r := t.records[u.ID]
 	switch {
 	case r == nil:
-		return Doubtful
+		return Unverified
 	case now.Before(r.coldUntil):
 		return Cold
 	case !r.suspectedAt.IsZero() && !r.verifiedAsOf.After(r.suspectedAt):
-		return Doubtful
+		return Unverified
 	case !confirmed && now.Sub(r.verifiedAsOf) > healthValidity:
-		return Doubtful
+		return Unverified
 	default:
 		return Warm
 	}
@@ -131,19 +131,19 @@
 	r := t.records[u.ID]
 	switch {
 	case r == nil || !confirmed:
-		return Doubtful
+		return Unverified
 	case now.Before(r.coldUntil):
 		return Cold
 	case !r.suspectedAt.IsZero() && now.Sub(r.suspectedAt) < maxEntryDelay:
-		return Doubtful
+		return Unverified
 	default:
 		return Warm
 	}
 }
 
-// Check reports whether a health check of a Doubtful upstream is due, and if so records that
+// BeginCheck reports whether a health check of a Doubtful upstream is due, and if so records that
 // it starts now.
-func (t *Table) Check(now time.Time, u *catalog.Upstream) bool {
+func (t *Table) BeginCheck(now time.Time, u *catalog.Upstream) bool {
 	r := t.records[u.ID]
 	if r == nil || now.Sub(r.checkStartedAt) < minCheckInterval {
 		return false
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -20,22 +20,22 @@
 		unconfirmed bool
 		want        State
 	}{
-		{"by its entry", func(tb *Table) { tb.Keep(at(0), view(1, 0, false)) }, 0, false, Warm},
-		{"not registered", func(*Table) {}, 0, false, Doubtful},
-		{"entries not confirmed", func(tb *Table) { tb.Keep(at(0), view(1, 0, false)) }, 0, true, Doubtful},
-		{"cold by its entry", func(tb *Table) { tb.Keep(at(0), view(1, time.Second, false)) }, 999, false, Cold},
+		{"by its entry", func(tb *Table) { tb.Update(at(0), view(1, 0, false)) }, 0, false, Warm},
+		{"not registered", func(*Table) {}, 0, false, Unverified},
+		{"entries not confirmed", func(tb *Table) { tb.Update(at(0), view(1, 0, false)) }, 0, true, Unverified},
+		{"cold by its entry", func(tb *Table) { tb.Update(at(0), view(1, time.Second, false)) }, 999, false, Cold},
 		{"its connection ended", func(tb *Table) {
-			tb.Keep(at(0), view(1, 0, false))
-			tb.Doubt(at(100), u)
-		}, 3099, false, Doubtful},
+			tb.Update(at(0), view(1, 0, false))
+			tb.MarkUnverified(at(100), u)
+		}, 3099, false, Unverified},
 		{"no new entry after maxEntryDelay", func(tb *Table) {
-			tb.Keep(at(0), view(1, 0, false))
-			tb.Doubt(at(100), u)
+			tb.Update(at(0), view(1, 0, false))
+			tb.MarkUnverified(at(100), u)
 		}, 3100, false, Warm},
 		{"new entry is cold", func(tb *Table) {
-			tb.Keep(at(0), view(1, 0, false))
-			tb.Doubt(at(100), u)
-			tb.Keep(at(2000), view(2, 5*time.Second, false))
+			tb.Update(at(0), view(1, 0, false))
+			tb.MarkUnverified(at(100), u)
+			tb.Update(at(2000), view(2, 5*time.Second, false))
 		}, 6999, false, Cold},
 	} {
 		tb := New()
@@ -66,59 +66,59 @@
 		unconfirmed bool
 		want        State
 	}{
-		{"by its entry", func(tb *Table) { tb.Keep(at(0), view(1, 0, false)) }, 0, false, Warm},
-		{"not registered", func(*Table) {}, 0, false, Doubtful},
-		{"cold by its entry", func(tb *Table) { tb.Keep(at(0), view(1, time.Second, false)) }, 999, false, Cold},
-		{"warm after the cold time of its entry", func(tb *Table) { tb.Keep(at(0), view(1, time.Second, false)) }, 1000, false, Warm},
+		{"by its entry", func(tb *Table) { tb.Update(at(0), view(1, 0, false)) }, 0, false, Warm},
+		{"not registered", func(*Table) {}, 0, false, Unverified},
+		{"cold by its entry", func(tb *Table) { tb.Update(at(0), view(1, time.Second, false)) }, 999, false, Cold},
+		{"warm after the cold time of its entry", func(tb *Table) { tb.Update(at(0), view(1, time.Second, false)) }, 1000, false, Warm},
 		{"remaining cold time of the entry decreases", func(tb *Table) {
-			tb.Keep(at(0), view(1, time.Second, false))
-			tb.Keep(at(900), view(1, 500*time.Millisecond, false))
+			tb.Update(at(0), view(1, time.Second, false))
+			tb.Update(at(900), view(1, 500*time.Millisecond, false))
 		}, 1000, false, Warm},
 		{"cold again by its entry", func(tb *Table) {
-			tb.Keep(at(0), view(1, 0, false))
-			tb.Keep(at(500), view(1, time.Second, false))
+			tb.Update(at(0), view(1, 0, false))
+			tb.Update(at(500), view(1, time.Second, false))
 		}, 1400, false, Cold},
 		{"after a restart", func(tb *Table) {
-			tb.Keep(at(0), view(1, 0, false))
-			tb.Keep(at(500), view(2, time.Second, false))
+			tb.Update(at(0), view(1, 0, false))
+			tb.Update(at(500), view(2, time.Second, false))
 		}, 1400, false, Cold},
 		{"its connection ended", func(tb *Table) {
-			tb.Keep(at(0), view(1, 0, false))
-			tb.Doubt(at(100), u)
-		}, 5000, false, Doubtful},
+			tb.Update(at(0), view(1, 0, false))
+			tb.MarkUnverified(at(100), u)
+		}, 5000, false, Unverified},
 		{"health check started before the connection ended", func(tb *Table) {
-			tb.Keep(at(0), view(1, 0, false))
-			tb.Doubt(at(100), u)
-			tb.Checked(at(110), at(90), u, 0)
-		}, 120, false, Doubtful},
+			tb.Update(at(0), view(1, 0, false))
+			tb.MarkUnverified(at(100), u)
+			tb.RecordHealth(at(110), at(90), u, 0)
+		}, 120, false, Unverified},
 		{"health check started after the connection ended", func(tb *Table) {
-			tb.Keep(at(0), view(1, 0, false))
-			tb.Doubt(at(100), u)
-			tb.Checked(at(120), at(101), u, 0)
+			tb.Update(at(0), view(1, 0, false))
+			tb.MarkUnverified(at(100), u)
+			tb.RecordHealth(at(120), at(101), u, 0)
 		}, 120, false, Warm},
 		{"cold by its health response", func(tb *Table) {
-			tb.Keep(at(0), view(1, 0, false))
-			tb.Doubt(at(100), u)
-			tb.Checked(at(120), at(101), u, time.Second)
+			tb.Update(at(0), view(1, 0, false))
+			tb.MarkUnverified(at(100), u)
+			tb.RecordHealth(at(120), at(101), u, time.Second)
 		}, 1119, false, Cold},
 		{"warm after the cold time of its health response", func(tb *Table) {
-			tb.Keep(at(0), view(1, 0, false))
-			tb.Doubt(at(100), u)
-			tb.Checked(at(120), at(101), u, time.Second)
+			tb.Update(at(0), view(1, 0, false))
+			tb.MarkUnverified(at(100), u)
+			tb.RecordHealth(at(120), at(101), u, time.Second)
 		}, 1120, false, Warm},
-		{"entries not confirmed", func(tb *Table) { tb.Keep(at(0), view(1, 0, false)) }, 0, true, Doubtful},
+		{"entries not confirmed", func(tb *Table) { tb.Update(at(0), view(1, 0, false)) }, 0, true, Unverified},
 		{"entries not confirmed, recent health check", func(tb *Table) {
-			tb.Keep(at(0), view(1, 0, false))
-			tb.Checked(at(20), at(10), u, 0)
+			tb.Update(at(0), view(1, 0, false))
+			tb.RecordHealth(at(20), at(10), u, 0)
 		}, 900, true, Warm},
 		{"entries not confirmed, health check expired", func(tb *Table) {
-			tb.Keep(at(0), view(1, 0, false))
-			tb.Checked(at(20), at(10), u, 0)
-		}, 1100, true, Doubtful},
+			tb.Update(at(0), view(1, 0, false))
+			tb.RecordHealth(at(20), at(10), u, 0)
+		}, 1100, true, Unverified},
 		{"after an evacuation", func(tb *Table) {
-			tb.Keep(at(0), view(1, 0, true))
-			tb.Keep(at(500), view(1, 0, false))
-		}, 600, false, Doubtful},
+			tb.Update(at(0), view(1, 0, true))
+			tb.Update(at(500), view(1, 0, false))
+		}, 600, false, Unverified},
 	} {
 		tb := New()
 		c.steps(tb)
@@ -132,10 +132,10 @@
 func TestChecksAreRateLimited(t *testing.T) {
 	tb := New()
 	u := view(1, 0, false).Upstreams["u"]
-	tb.Keep(at(0), view(1, 0, false))
+	tb.Update(at(0), view(1, 0, false))
 	checks := 0
 	for ms := range 1000 {
-		if tb.Check(at(ms), u) {
+		if tb.BeginCheck(at(ms), u) {
 			checks++
 		}
 	}
