--- a/cmd/sycamorekeel-edge/main.go
+++ b/cmd/sycamorekeel-edge/main.go
@@ -99,7 +99,7 @@
 		Logs:     ring.Loggers(),
 		Registry: registry,
 		Adapter:  env.adapter(set, meter),
-		Reloading: node.Reloading{
+		Reload: node.ReloadOptions{
 			Load:    env.load,
 			Signals: hup,
 		},
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -94,18 +94,18 @@
 type CallerHandler interface {
 	// Handle answers a request.
 	Handle(*fasthttp.RequestCtx)
-	// Fault answers a request that could not be read.
-	Fault(*fasthttp.RequestCtx, error)
+	// HandleError answers a request that could not be read.
+	HandleError(*fasthttp.RequestCtx, error)
 }
 
 // Options holds the dependencies of a Daemon.
 type Options struct {
 	// Traffic counts the bytes that this VM sends and receives.
-	Traffic   *traffic.Meter
-	Logs      logring.Loggers
-	Registry  *prometheus.Registry
-	Adapter   Adapter
-	Reloading Reloading
+	Traffic  *traffic.Meter
+	Logs     logring.Loggers
+	Registry *prometheus.Registry
+	Adapter  Adapter
+	Reload   ReloadOptions
 }
 
 // Daemon is the process that runs on one VM.
@@ -138,8 +138,8 @@
 func New(set *Settings, opts Options) *Daemon {
 	now := time.Now()
 	d := &Daemon{
-		loadSettings:  opts.Reloading.Load,
-		reloadSignals: opts.Reloading.Signals,
+		loadSettings:  opts.Reload.Load,
+		reloadSignals: opts.Reload.Signals,
 		logs:          opts.Logs,
 		log:           opts.Logs.Changes,
 		registry:      opts.Registry,
@@ -158,7 +158,7 @@
 		Protocol:    opts.Adapter.Upstreams,
 		Place:       placeOf(set),
 		Traffic:     opts.Traffic,
-		Budget:      set.Budget,
+		Budget:      set.RetryBudget,
 		MaxRequests: max(minRequests, int(maxRequests*set.Cores)),
 		Random:      random,
 		ViewAge:     func() time.Duration { return d.syncer.confirmedAge(time.Now()) },
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -56,12 +56,12 @@
 	merged := *set
 	merged.keepRestartOnly(old)
 	d.settings.Store(&merged)
-	d.engine.SetBudget(set.Budget)
+	d.engine.SetBudget(set.RetryBudget)
 	d.syncer.setBound(set.ChangeBound)
 	d.publishCapacity()
 	d.log.Info("node: settings changed",
 		zap.Duration("change_bound", set.ChangeBound), zap.Duration("grace", set.Grace),
-		zap.Float64("retry_ratio", set.Budget.Ratio), zap.Float64("retry_allowance", set.Budget.Allowance))
+		zap.Float64("retry_ratio", set.RetryBudget.Ratio), zap.Float64("retry_allowance", set.RetryBudget.Allowance))
 }
 
 // restartOnlySettings holds the settings that only a restart can change.
@@ -74,7 +74,7 @@
 	return restartOnlySettings{
 		vm: s.VM, dataCentre: s.DataCentre, region: s.Region,
 		caller: s.CallerAddress, ready: s.ReadyAddress, directory: s.DirectoryAddress,
-		peer: s.PeerAddress, peerListen: s.PeerListen, metrics: s.MetricsAddress, platform: s.Store,
+		peer: s.PeerAddress, peerListen: s.PeerListen, metrics: s.MetricsAddress, platform: s.StoreAddress,
 	}
 }
 
@@ -82,11 +82,11 @@
 	s.VM, s.DataCentre, s.Region = from.VM, from.DataCentre, from.Region
 	s.CallerAddress, s.ReadyAddress, s.DirectoryAddress = from.CallerAddress, from.ReadyAddress, from.DirectoryAddress
 	s.PeerAddress, s.PeerListen = from.PeerAddress, from.PeerListen
-	s.MetricsAddress, s.Store = from.MetricsAddress, from.Store
+	s.MetricsAddress, s.StoreAddress = from.MetricsAddress, from.StoreAddress
 }
 
-// Reloading defines how the settings of a running daemon are reloaded.
-type Reloading struct {
+// ReloadOptions defines how the settings of a running daemon are reloaded.
+type ReloadOptions struct {
 	// Load reads the current settings.
 	Load func() (*Settings, error)
 	// Signals triggers an immediate reload.
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -94,7 +94,7 @@
 	handler := d.adapter.Callers(d.engine, d.leaving.Load)
 	callers := &fasthttp.Server{
 		Handler:                      handler.Handle,
-		ErrorHandler:                 handler.Fault,
+		ErrorHandler:                 handler.HandleError,
 		Logger:                       httpLogger{d.logs.Failures, "callers"},
 		Concurrency:                  maxCallerConns(d.settings.Load().Descriptors),
 		ReadBufferSize:               callerReadBufferSize,
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -34,8 +34,8 @@
 	MetricsAddress string
 	// Seeds are the peer addresses of a few VMs, which may be down.
 	Seeds []string
-	// Store is the address of the platform's store.
-	Store string
+	// StoreAddress is the address of the platform's store.
+	StoreAddress string
 
 	// Cores is the number of cores available to the process and may be a fraction.
 	Cores float64
@@ -48,11 +48,11 @@
 	ChangeBound time.Duration
 	// Grace is the time between the signal to stop and the end of the process.
 	Grace time.Duration
-	// MaxTTL is the longest time for which callers may keep a directory answer.
-	MaxTTL time.Duration
-	// Budget limits the additional requests (retries and hedges) to a service over all
+	// MaxDirectoryTTL is the longest time for which callers may keep a directory answer.
+	MaxDirectoryTTL time.Duration
+	// RetryBudget limits the additional requests (retries and hedges) to a service over all
 	// VMs.
-	Budget retrybudget.Limit
+	RetryBudget retrybudget.Limit
 }
 
 // peerListen returns the address to listen on for peers.
@@ -70,5 +70,5 @@
 // period unless that is shorter than minDirectoryTTL, so that a caller that respects
 // the TTL never connects to a VM that has stopped.
 func (s *Settings) directoryTTL() time.Duration {
-	return min(maxDirectoryTTL, s.MaxTTL, max(s.drainPeriod(), minDirectoryTTL))
+	return min(maxDirectoryTTL, s.MaxDirectoryTTL, max(s.drainPeriod(), minDirectoryTTL))
 }
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -19,7 +19,7 @@
 		{"no grace period", 0, 5 * time.Second, time.Second},
 		{"long grace period", time.Minute, time.Minute, 4500 * time.Millisecond},
 	} {
-		s := &Settings{Grace: c.grace, MaxTTL: c.maxTTL}
+		s := &Settings{Grace: c.grace, MaxDirectoryTTL: c.maxTTL}
 		if got := s.directoryTTL(); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
--- a/internal/standalone/adapter.go
+++ b/internal/standalone/adapter.go
@@ -22,7 +22,7 @@
 // wire format and HTTP endpoints.
 func Adapter(set *node.Settings) node.Adapter {
 	return node.Adapter{
-		Store:     NewFileStore(set.Store),
+		Store:     NewFileStore(set.StoreAddress),
 		Decoder:   ItemDecoder{},
 		Upstreams: wire.Upstreams{Names: wire.Own()},
 		Callers: func(e *edge.Engine, leaving func() bool) node.CallerHandler {
--- a/internal/standalone/settings.go
+++ b/internal/standalone/settings.go
@@ -87,14 +87,14 @@
 		PeerAddress:      s.PeerAddress,
 		MetricsAddress:   s.MetricsAddress,
 		Seeds:            s.Seeds,
-		Store:            s.Deployment,
+		StoreAddress:     s.Deployment,
 		Cores:            float64(valueOr(s.Millicores, defaultMillicores)) / 1000,
 		MemoryBytes:      int64(valueOr(s.MemoryMb, defaultMemory)) << 20,
 		Descriptors:      int(valueOr(s.Descriptors, defaultDescriptors)),
 		ChangeBound:      milliseconds(valueOr(s.ChangeBoundMs, defaultChangeBound)),
 		Grace:            milliseconds(valueOr(s.GraceMs, defaultGrace)),
-		MaxTTL:           milliseconds(valueOr(s.MaxTtlMs, defaultMaxTTL)),
-		Budget: retrybudget.Limit{
+		MaxDirectoryTTL:  milliseconds(valueOr(s.MaxTtlMs, defaultMaxTTL)),
+		RetryBudget: retrybudget.Limit{
 			Ratio:     float64(s.RetryPercent) / 100,
 			Window:    milliseconds(valueOr(s.RetryWindowMs, defaultWindow)),
 			Allowance: float64(s.RetryAllowance),
--- a/internal/standalone/standalone_test.go
+++ b/internal/standalone/standalone_test.go
@@ -131,7 +131,7 @@
 	n := node.New(set, node.Options{
 		Traffic: &traffic.Meter{},
 		Logs:    logring.Nop(), Registry: prometheus.NewRegistry(), Adapter: Adapter(set),
-		Reloading: node.Reloading{Load: func() (*node.Settings, error) { return set, nil }},
+		Reload: node.ReloadOptions{Load: func() (*node.Settings, error) { return set, nil }},
 	})
 	go func() { ended <- n.Run(ctx) }()
 	defer func() {
--- a/internal/wire/ingress.go
+++ b/internal/wire/ingress.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// Fault responds to a request that could not be read; err is the read error. fasthttp
+// HandleError responds to a request that could not be read; err is the read error. fasthttp
 // then closes the connection.
-func (in *Ingress) Fault(ctx *fasthttp.RequestCtx, err error) {
+func (in *Ingress) HandleError(ctx *fasthttp.RequestCtx, err error) {
 	r := &edge.Request{Received: time.Now(), Message: &direct.Message{}}
 	a := in.engine.Refuse(r, readErrorReason(err))
 	in.writeRefusal(ctx, r, &a)
--- a/internal/wire/ingress_test.go
+++ b/internal/wire/ingress_test.go
@@ -40,7 +40,7 @@
 	engine.SetView(time.Now(), &catalog.View{Config: c, Table: routing.Compile(c)})
 	in := NewIngress(engine, Own(), func() bool { return false })
 	server := &fasthttp.Server{
-		Handler: in.Handle, ErrorHandler: in.Fault,
+		Handler: in.Handle, ErrorHandler: in.HandleError,
 		ReadBufferSize: 500, MaxRequestBodySize: 100, ReadTimeout: readTimeout, Logger: log.New(io.Discard, "", 0),
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
