--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -141,7 +141,7 @@
 func (b *bench) ask(work time.Duration) *job {
 	j := &job{work: work, ended: func(r scatter.Result, load *direct.Load) {
 		note := r.String()
-		if load != nil && !load.Room() {
+		if load != nil && !load.HasFreeSlot() {
 			note += " when full"
 		}
 		b.ended = append(b.ended, note)
--- a/internal/balance/query.go
+++ b/internal/balance/query.go
@@ -133,7 +133,7 @@
 	case AllFaults:
 		return false
 	default:
-		return load == nil || !load.Room()
+		return load == nil || !load.HasFreeSlot()
 	}
 }
 
--- a/internal/balance/server.go
+++ b/internal/balance/server.go
@@ -88,7 +88,7 @@
 
 // load is what it reports.
 func (s *server) load() *direct.Load {
-	return &direct.Load{Running: s.running, Waiting: len(s.waiting), Slots: s.Slots, Pace: s.pace}
+	return &direct.Load{Running: s.running, Waiting: len(s.waiting), Slots: s.Slots, Slowdown: s.pace}
 }
 
 // arrive brings a request.
--- a/internal/direct/call.go
+++ b/internal/direct/call.go
@@ -49,13 +49,13 @@
 type Load struct {
 	// Running and Waiting count requests; Slots is the maximum that run concurrently.
 	Running, Waiting, Slots int
-	// Pace is the current duration of work on the upstream's VM relative to the usual
+	// Slowdown is the current duration of work on the upstream's VM relative to the usual
 	// duration: 1 is normal, 2 is twice as long.
-	Pace float64
+	Slowdown float64
 }
 
-// Room reports whether one more request would have run without queueing.
-func (l *Load) Room() bool { return l.Waiting == 0 && l.Running < l.Slots }
+// HasFreeSlot reports whether one more request would have run without queueing.
+func (l *Load) HasFreeSlot() bool { return l.Waiting == 0 && l.Running < l.Slots }
 
 // Protocol encodes requests to upstreams and decodes their responses.
 type Protocol interface {
--- a/internal/direct/check.go
+++ b/internal/direct/check.go
@@ -53,13 +53,13 @@
 	}
 }
 
-// Check determines whether the process of an upstream that closed a connection has ended,
+// CheckProcess determines whether the process of an upstream that closed a connection has ended,
 // and calls notify with the result from another goroutine. A closed connection alone is no
 // proof: a proxy or the network may have reset it, or an answer was lost, while the process
 // runs. The process has ended only if nothing listens on the address any more or if another
 // process has replaced it. A process that restarts before the check runs is detected later
 // by its registration; notify is then called a second time, with true.
-func (p *Pools) Check(u *catalog.Upstream, notify func(ended bool)) {
+func (p *Pools) CheckProcess(u *catalog.Upstream, notify func(ended bool)) {
 	p.mu.Lock()
 	pool := p.pools[u.ID]
 	p.mu.Unlock()
@@ -95,9 +95,9 @@
 
 // runCheck dials the upstream and notifies all waiters of the result.
 func (p *Pool) runCheck() {
-	ended, opened := sockpeek.NobodyListens(dialTCP, p.upstream.Address, checkTimeout)
+	ended, opened := sockpeek.DialRefused(dialTCP, p.upstream.Address, checkTimeout)
 	if opened {
-		p.observer.Opened(p.upstream)
+		p.observer.ConnectionOpened(p.upstream)
 	}
 	now := time.Now()
 	p.mu.Lock()
--- a/internal/direct/check_test.go
+++ b/internal/direct/check_test.go
@@ -14,7 +14,7 @@
 func (c *client) processEnded() bool {
 	c.t.Helper()
 	out := make(chan bool, 1)
-	c.pools.Check(c.up, func(ended bool) { out <- ended })
+	c.pools.CheckProcess(c.up, func(ended bool) { out <- ended })
 	select {
 	case ended := <-out:
 		return ended
@@ -91,7 +91,7 @@
 		cl.up.StartedAt = time.Unix(1000, 0)
 		cl.call("1")
 		out := make(chan bool, 2)
-		cl.pools.Check(cl.up, func(ended bool) { out <- ended })
+		cl.pools.CheckProcess(cl.up, func(ended bool) { out <- ended })
 		if <-out {
 			t.Error("a listening process is reported as ended")
 		}
@@ -101,7 +101,7 @@
 		if c.address != "" {
 			later.Address = c.address
 		}
-		cl.pools.Keep(map[string]*catalog.Upstream{c.id: &later})
+		cl.pools.SetUpstreams(map[string]*catalog.Upstream{c.id: &later})
 		if ended := len(out) == 1 && <-out; ended != c.ended {
 			t.Errorf("%s at %q: reported as ended: %v, want %v", c.id, c.address, ended, c.ended)
 		}
--- a/internal/direct/conn.go
+++ b/internal/direct/conn.go
@@ -76,7 +76,7 @@
 	}
 	c.netConn = nc
 	c.dialTime = time.Since(began)
-	c.pool.observer.Opened(c.pool.upstream)
+	c.pool.observer.ConnectionOpened(c.pool.upstream)
 	counted := traffic.CountConn(nc, func(n int) { c.bytes.Add(int64(n)) })
 	c.br = bufio.NewReaderSize(counted, bufferBytes)
 	c.bw = bufio.NewWriterSize(counted, bufferBytes)
@@ -215,7 +215,7 @@
 	if isTimeout(err) {
 		return Reply{Result: scatter.Lost, Detail: "no answer in time"}
 	}
-	c.pool.observer.Ended(c.pool.upstream)
+	c.pool.observer.ConnectionEnded(c.pool.upstream)
 	return Reply{Result: scatter.Lost, Detail: "connection: " + err.Error()}
 }
 
@@ -234,7 +234,7 @@
 	}
 	state := sockpeek.Look(c.netConn)
 	if state == sockpeek.Ended {
-		c.pool.observer.Ended(c.pool.upstream)
+		c.pool.observer.ConnectionEnded(c.pool.upstream)
 	}
-	return state == sockpeek.Quiet
+	return state == sockpeek.Idle
 }
--- a/internal/direct/direct_test.go
+++ b/internal/direct/direct_test.go
@@ -127,7 +127,7 @@
 // nopObserver is an Observer that does nothing.
 type nopObserver struct{}
 
-func (nopObserver) Opened(*catalog.Upstream) {}
+func (nopObserver) ConnectionOpened(*catalog.Upstream) {}
 
 // healthObserver makes connections check the health first and counts successful checks.
 type healthObserver struct {
@@ -137,7 +137,7 @@
 
 func (healthObserver) HealthPath(*catalog.Upstream) string { return "/health" }
 
-func (a healthObserver) HealthAnswered(_ *catalog.Upstream, _ time.Time, _ Health, err error) {
+func (a healthObserver) HealthChecked(_ *catalog.Upstream, _ time.Time, _ Health, err error) {
 	if err == nil {
 		a.answered.Add(1)
 	}
@@ -145,11 +145,11 @@
 
 func (nopObserver) HealthPath(*catalog.Upstream) string { return "" }
 
-func (nopObserver) HealthAnswered(*catalog.Upstream, time.Time, Health, error) {}
+func (nopObserver) HealthChecked(*catalog.Upstream, time.Time, Health, error) {}
 
 func (nopObserver) HealthBytes(*catalog.Upstream, int) {}
 
-func (nopObserver) Ended(*catalog.Upstream) {}
+func (nopObserver) ConnectionEnded(*catalog.Upstream) {}
 
 func (nopObserver) Sent(*catalog.Upstream, bool, int) {}
 
@@ -343,7 +343,7 @@
 	extra <- true
 	<-extra
 	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		cl.pools.Expire(time.Now())
+		cl.pools.Sweep(time.Now())
 		if cl.idleConns() == 0 {
 			break
 		}
@@ -449,7 +449,7 @@
 	cl.pools.SetWindow(cl.up, 1)
 	_, second := cl.begin("2", nil, 0)
 	_, third := cl.begin("3", nil, 0)
-	if ahead := cl.pools.Ahead(time.Now(), []*catalog.Upstream{cl.up}); ahead[0] != 3 {
+	if ahead := cl.pools.AnswersAhead(time.Now(), []*catalog.Upstream{cl.up}); ahead[0] != 3 {
 		t.Errorf("%v answers ahead with one call in flight and two waiting, want 3", ahead[0])
 	}
 	release <- true
@@ -487,7 +487,7 @@
 		t.Fatalf("%v (%s)", r.Result, r.Detail)
 	}
 	cl.waitAllClosed()
-	if ahead := cl.pools.Ahead(time.Now(), []*catalog.Upstream{cl.up}); ahead[0] != rejectedAhead {
+	if ahead := cl.pools.AnswersAhead(time.Now(), []*catalog.Upstream{cl.up}); ahead[0] != rejectedAhead {
 		t.Errorf("%v answers ahead for an upstream that rejects connections", ahead[0])
 	}
 	if r := cl.call("2"); r.Result != scatter.NoConnection || s.connections() != 1 {
@@ -520,7 +520,7 @@
 	pool.mu.Unlock()
 	_, sent := c.begin("sent", nil, 0)
 	_, waiting := c.begin("waiting", nil, 0)
-	c.pools.Expire(time.Now())
+	c.pools.Sweep(time.Now())
 	close(release)
 	for _, done := range []<-chan Reply{sent, waiting} {
 		if r := c.wait(done); r.Result != scatter.Answered {
@@ -540,13 +540,13 @@
 	c := newClient(t, silent, 1)
 	_, sent := c.begin("sent", nil, 0)
 	_, waiting := c.begin("waiting", nil, 0)
-	c.pools.Expire(time.Now())
+	c.pools.Sweep(time.Now())
 	select {
 	case r := <-waiting:
 		t.Fatalf("the waiting call fails immediately: %+v", r)
 	default:
 	}
-	c.pools.Expire(time.Now().Add(stallTimeout))
+	c.pools.Sweep(time.Now().Add(stallTimeout))
 	if r := c.wait(waiting); r.Result != scatter.NoConnection || !r.Result.NotRun() {
 		t.Errorf("the waiting call ends with %+v", r)
 	}
@@ -757,7 +757,7 @@
 	s := newServer(t, respondWith(func(id string) string { return response(id, "x") }))
 	cl := newClient(t, s, 1)
 	cl.call("1")
-	cl.pools.Keep(map[string]*catalog.Upstream{})
+	cl.pools.SetUpstreams(map[string]*catalog.Upstream{})
 	if n := cl.pools.Opened(); n != 0 {
 		t.Errorf("%d connections of a removed upstream are counted", n)
 	}
--- a/internal/direct/health.go
+++ b/internal/direct/health.go
@@ -29,7 +29,7 @@
 func (p *Pools) CheckHealth(u *catalog.Upstream, path string) {
 	begun := time.Now()
 	h, err := p.dialHealth(u, path)
-	p.observer.HealthAnswered(u, begun, h, err)
+	p.observer.HealthChecked(u, begun, h, err)
 }
 
 func (p *Pools) dialHealth(u *catalog.Upstream, path string) (Health, error) {
@@ -39,7 +39,7 @@
 	}
 	// The connection carries only this health check.
 	defer nc.Close()
-	p.observer.Opened(u)
+	p.observer.ConnectionOpened(u)
 	counted := traffic.CountConn(nc, func(n int) { p.observer.HealthBytes(u, n) })
 	return requestHealth(counted, bufio.NewReader(counted), p.protocol, u, path)
 }
@@ -83,6 +83,6 @@
 	begun := time.Now()
 	h, err := requestHealth(nc, c.br, c.pool.protocol, u, path)
 	observer.HealthBytes(u, int(c.bytes.Swap(0)))
-	observer.HealthAnswered(u, begun, h, err)
+	observer.HealthChecked(u, begun, h, err)
 	return trace.Wrap(err)
 }
--- a/internal/direct/pool.go
+++ b/internal/direct/pool.go
@@ -290,7 +290,7 @@
 // is open it also fails all waiting calls: they would fail the same way, one dial after
 // the other.
 func (p *Pool) dialFailed(call *Call, err error) {
-	p.observer.Ended(p.upstream)
+	p.observer.ConnectionEnded(p.upstream)
 	p.mu.Lock()
 	var others []*Call
 	if p.open == 1 {
--- a/internal/direct/pools.go
+++ b/internal/direct/pools.go
@@ -20,18 +20,18 @@
 
 // Observer receives the connection events, traffic and health checks of upstreams.
 type Observer interface {
-	// Opened counts an opened connection.
-	Opened(u *catalog.Upstream)
+	// ConnectionOpened counts an opened connection.
+	ConnectionOpened(u *catalog.Upstream)
 	// Sent counts the bytes of a call in both directions.
 	Sent(u *catalog.Upstream, extra bool, bytes int)
-	// Ended reports that the remote end closed a connection, or that a connection could not
+	// ConnectionEnded reports that the remote end closed a connection, or that a connection could not
 	// be opened: the upstream may have restarted. It is called before the next call is sent.
-	Ended(u *catalog.Upstream)
+	ConnectionEnded(u *catalog.Upstream)
 	// HealthPath returns the path that each new connection requests before its first call;
 	// "" skips the health check.
 	HealthPath(u *catalog.Upstream) string
-	// HealthAnswered receives the result of a health check that started at begun.
-	HealthAnswered(u *catalog.Upstream, begun time.Time, h Health, err error)
+	// HealthChecked receives the result of a health check that started at begun.
+	HealthChecked(u *catalog.Upstream, begun time.Time, h Health, err error)
 	// HealthBytes counts the bytes of a health check in both directions.
 	HealthBytes(u *catalog.Upstream, bytes int)
 }
@@ -63,9 +63,9 @@
 	pool.do(call)
 }
 
-// Ahead returns, for each upstream, how many answers each of its connections in use must
+// AnswersAhead returns, for each upstream, how many answers each of its connections in use must
 // deliver before one more call gets a connection; 0 when one is idle or may be opened.
-func (p *Pools) Ahead(now time.Time, upstreams []*catalog.Upstream) []float64 {
+func (p *Pools) AnswersAhead(now time.Time, upstreams []*catalog.Upstream) []float64 {
 	pools := make([]*Pool, len(upstreams))
 	p.mu.Lock()
 	for i, u := range upstreams {
@@ -92,10 +92,10 @@
 	}
 }
 
-// Keep replaces the set of known upstreams, by id. It closes the pools of removed
+// SetUpstreams replaces the set of known upstreams, by id. It closes the pools of removed
 // upstreams, abandons the pools of restarted ones and updates the connection limits of
 // the others.
-func (p *Pools) Keep(known map[string]*catalog.Upstream) {
+func (p *Pools) SetUpstreams(known map[string]*catalog.Upstream) {
 	p.mu.Lock()
 	var removed, restarted []*Pool
 	for id, pool := range p.pools {
@@ -123,16 +123,16 @@
 	}
 }
 
-// Expire ends the idle connections that upstreams are about to close, and fails the calls
+// Sweep ends the idle connections that upstreams are about to close, and fails the calls
 // that wait for a connection to a stalled upstream. Call it periodically.
-func (p *Pools) Expire(now time.Time) {
+func (p *Pools) Sweep(now time.Time) {
 	for _, pool := range p.all() {
 		pool.expire(now)
 		pool.failStalled(now)
 	}
 }
 
-// Opened returns how many connections the current pools, those of the current processes of
+// ConnectionOpened returns how many connections the current pools, those of the current processes of
 // known upstreams, have opened so far. Failed dials count.
 func (p *Pools) Opened() uint64 {
 	var n uint64
--- a/internal/direct/restart_test.go
+++ b/internal/direct/restart_test.go
@@ -20,7 +20,7 @@
 
 // setUpstream makes u the only known upstream.
 func (c *client) setUpstream(u *catalog.Upstream) {
-	c.pools.Keep(map[string]*catalog.Upstream{u.ID: u})
+	c.pools.SetUpstreams(map[string]*catalog.Upstream{u.ID: u})
 }
 
 // unresponsive takes requests and answers none, as a process behind a cut does.
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -126,7 +126,7 @@
 	e.shares.Store(&Shares{VMs: 1, IngressVMs: 1, Ingress: true})
 	e.pools = direct.NewPools(opts.Protocol, upstreamObserver{opts.Traffic, opts.Place, e}, e.connectionLimit)
 	e.startCall = e.pools.Do
-	e.checkEnded = e.pools.Check
+	e.checkEnded = e.pools.CheckProcess
 	e.poison = poison.New(opts.Logs, opts.Metrics.poison)
 	return e
 }
@@ -142,7 +142,7 @@
 	e.replicas.SetUpstreams(now, v.Upstreams)
 	e.pruneRemoved(now, v.Config)
 	e.mu.Unlock()
-	e.pools.Keep(v.Upstreams)
+	e.pools.SetUpstreams(v.Upstreams)
 }
 
 // pruneRemoved drops the state of routes and services that the configuration no longer
@@ -193,7 +193,7 @@
 	}
 	e.setBudgetShares(now, old.portion(1), s.portion(1))
 	if v := e.view.Load(); v != nil {
-		e.pools.Keep(v.Upstreams)
+		e.pools.SetUpstreams(v.Upstreams)
 	}
 }
 
@@ -222,7 +222,7 @@
 // Tick expires idle connections and stalled calls, and logs state changes of upstreams. It
 // must be called about once a second.
 func (e *Engine) Tick(now time.Time) {
-	e.pools.Expire(now)
+	e.pools.Sweep(now)
 	e.mu.Lock()
 	changes := e.replicas.ReclassifyAll(now)
 	e.mu.Unlock()
--- a/internal/edge/policy.go
+++ b/internal/edge/policy.go
@@ -17,7 +17,7 @@
 		return nil
 	}
 	candidates := x.candidates(part)
-	ahead := e.pools.Ahead(now, candidates)
+	ahead := e.pools.AnswersAhead(now, candidates)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.replicas.Choose(now, x.req.Route.Name, x.defaultLatency, candidates, ahead, tried)
--- a/internal/edge/run.go
+++ b/internal/edge/run.go
@@ -56,7 +56,7 @@
 // that reports free slots refuses because of its own failure; one that reports no load is
 // assumed to be full.
 func (s *send) refusedFull() bool {
-	return s.reply.Result == scatter.Refused && (s.reply.Load == nil || !s.reply.Load.Room())
+	return s.reply.Result == scatter.Refused && (s.reply.Load == nil || !s.reply.Load.HasFreeSlot())
 }
 
 // replyQueue collects the replies of a run. put never blocks.
@@ -191,7 +191,7 @@
 func (x *run) logFailed(s *send) {
 	fields := x.logFields(s, zap.Stringer("result", s.reply.Result), zap.String("detail", s.reply.Detail))
 	if l := s.reply.Load; l != nil {
-		fields = append(fields, zap.Int("running", l.Running), zap.Int("waiting", l.Waiting), zap.Int("slots", l.Slots), zap.Float64("pace", l.Pace))
+		fields = append(fields, zap.Int("running", l.Running), zap.Int("waiting", l.Waiting), zap.Int("slots", l.Slots), zap.Float64("pace", l.Slowdown))
 	}
 	if s.reply.Result == scatter.Broken {
 		fields = append(fields, zap.Stringer("content", x.req.contentFingerprint()))
--- a/internal/edge/traffic.go
+++ b/internal/edge/traffic.go
@@ -17,8 +17,10 @@
 	engine *Engine
 }
 
-// Ended implements direct.Observer.
-func (o upstreamObserver) Ended(u *catalog.Upstream) { o.engine.warmups.suspectRestart(time.Now(), u) }
+// ConnectionEnded implements direct.Observer.
+func (o upstreamObserver) ConnectionEnded(u *catalog.Upstream) {
+	o.engine.warmups.suspectRestart(time.Now(), u)
+}
 
 // HealthPath implements direct.Observer. New connections to upstreams that sustain few
 // requests while cold check their health first.
@@ -34,8 +36,8 @@
 	return s.HealthPath
 }
 
-// HealthAnswered implements direct.Observer.
-func (o upstreamObserver) HealthAnswered(u *catalog.Upstream, begun time.Time, h direct.Health, err error) {
+// HealthChecked implements direct.Observer.
+func (o upstreamObserver) HealthChecked(u *catalog.Upstream, begun time.Time, h direct.Health, err error) {
 	o.engine.healthAnswered(u, begun, h, err)
 }
 
@@ -44,8 +46,8 @@
 	o.meter.Add(traffic.Health, o.place.Distance(u.DataCentre), bytes)
 }
 
-// Opened implements direct.Observer.
-func (o upstreamObserver) Opened(u *catalog.Upstream) {
+// ConnectionOpened implements direct.Observer.
+func (o upstreamObserver) ConnectionOpened(u *catalog.Upstream) {
 	o.meter.Opened(o.place.Distance(u.DataCentre))
 }
 
--- a/internal/sockpeek/sockpeek.go
+++ b/internal/sockpeek/sockpeek.go
@@ -13,8 +13,8 @@
 
 // States of a connection.
 const (
-	// Quiet connections are open and have no unread bytes.
-	Quiet State = iota
+	// Idle connections are open and have no unread bytes.
+	Idle State = iota
 	// Readable connections have unread bytes.
 	Readable
 	// Ended connections were closed or reset by the remote end, or cannot be inspected.
@@ -26,7 +26,7 @@
 func Look(nc net.Conn) State {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
-		return Quiet
+		return Idle
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
@@ -48,7 +48,7 @@
 	n, _, err := syscall.Recvfrom(fd, buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	switch {
 	case errors.Is(err, syscall.EAGAIN), errors.Is(err, syscall.EINTR):
-		return Quiet
+		return Idle
 	case err != nil || n == 0:
 		return Ended
 	default:
--- a/internal/standalone/adapter.go
+++ b/internal/standalone/adapter.go
@@ -24,9 +24,9 @@
 	return node.Adapter{
 		Store:     NewFileStore(set.StoreAddress),
 		Decoder:   ItemDecoder{},
-		Upstreams: wire.Upstreams{Names: wire.Own()},
+		Upstreams: wire.UpstreamProtocol{Names: wire.DefaultHeaderNames()},
 		Callers: func(e *edge.Engine, leaving func() bool) node.CallerHandler {
-			return wire.NewIngress(e, wire.Own(), leaving)
+			return wire.NewIngress(e, wire.DefaultHeaderNames(), leaving)
 		},
 		Directory: directoryHandler,
 		Ready: func(ready func() bool) fasthttp.RequestHandler {
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -211,7 +211,7 @@
 // its address refuses connections. A closed connection alone does not show this,
 // as it may have other causes.
 func (c *Client) processEnded() bool {
-	ended, _ := sockpeek.NobodyListens(c.dialFunc, c.address, listenCheckTimeout)
+	ended, _ := sockpeek.DialRefused(c.dialFunc, c.address, listenCheckTimeout)
 	return ended
 }
 
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -35,7 +35,7 @@
 
 // Write implements net.Conn.
 func (c *countedConn) Write(b []byte) (int, error) {
-	if c.idle && sockpeek.Look(c.Conn) != sockpeek.Quiet {
+	if c.idle && sockpeek.Look(c.Conn) != sockpeek.Idle {
 		return 0, &dialError{errClosedIdle}
 	}
 	c.idle = false
--- a/internal/wire/ingress.go
+++ b/internal/wire/ingress.go
@@ -21,14 +21,14 @@
 // engine and encodes its answers.
 type Ingress struct {
 	engine *edge.Engine
-	names  Names
+	names  HeaderNames
 	// leaving reports whether this VM is shutting down.
 	leaving func() bool
 }
 
 // NewIngress returns a handler that serves callers with engine. While leaving returns true,
 // each response closes its connection.
-func NewIngress(engine *edge.Engine, names Names, leaving func() bool) *Ingress {
+func NewIngress(engine *edge.Engine, names HeaderNames, leaving func() bool) *Ingress {
 	return &Ingress{engine: engine, names: names, leaving: leaving}
 }
 
@@ -198,7 +198,7 @@
 	h := &ctx.Response.Header
 	h.Set(in.names.RequestID, r.Message.ID)
 	h.Set(in.names.Parts, strings.Join(a.Proofs, ", "))
-	h.Set(in.names.Missing, strconv.Itoa(a.Missing))
+	h.Set(in.names.MissingParts, strconv.Itoa(a.Missing))
 	h.SetContentType("application/octet-stream")
 	ctx.Response.SetBodyRaw(a.Body)
 }
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -3,8 +3,8 @@
 // project's own interface and the users' platform share one implementation.
 package wire
 
-// Names holds the names of the protocol's custom HTTP headers.
-type Names struct {
+// HeaderNames holds the names of the protocol's custom HTTP headers.
+type HeaderNames struct {
 	// RequestID identifies one attempt of a caller's request.
 	RequestID string
 	// Deadline is the remaining time, in milliseconds, that the sender waits for a response.
@@ -23,13 +23,13 @@
 	Load string
 	// Parts lists the proofs of the parts of a merged answer, separated by commas.
 	Parts string
-	// Missing is the number of shards whose part is missing from a merged answer.
-	Missing string
+	// MissingParts is the number of shards whose part is missing from a merged answer.
+	MissingParts string
 }
 
-// Own returns the header names of the project's own interface.
-func Own() Names {
-	return Names{
+// DefaultHeaderNames returns the header names of the project's own interface.
+func DefaultHeaderNames() HeaderNames {
+	return HeaderNames{
 		RequestID:      "X-Request-Id",
 		Deadline:       "X-Deadline-Ms",
 		Proof:          "X-Proof",
@@ -39,6 +39,6 @@
 		Cold:           "X-Cold-Ms",
 		Load:           "X-Load",
 		Parts:          "X-Parts",
-		Missing:        "X-Missing-Parts",
+		MissingParts:   "X-Missing-Parts",
 	}
 }
--- a/internal/wire/upstream.go
+++ b/internal/wire/upstream.go
@@ -13,11 +13,11 @@
 	"sycamorekeel.example/sycamorekeel/internal/scatter"
 )
 
-// Upstreams implements direct.Protocol over HTTP.
-type Upstreams struct{ Names Names }
+// UpstreamProtocol implements direct.Protocol over HTTP.
+type UpstreamProtocol struct{ Names HeaderNames }
 
 // Encode implements direct.Protocol.
-func (up Upstreams) Encode(req *fasthttp.Request, m *direct.Message, u *catalog.Upstream, left time.Duration) {
+func (up UpstreamProtocol) Encode(req *fasthttp.Request, m *direct.Message, u *catalog.Upstream, left time.Duration) {
 	m.Header.CopyTo(&req.Header)
 	req.Header.Set(up.Names.RequestID, m.ID)
 	req.Header.Set(up.Names.Deadline, strconv.FormatInt(left.Milliseconds(), 10))
@@ -27,7 +27,7 @@
 }
 
 // Decode implements direct.Protocol.
-func (up Upstreams) Decode(resp *fasthttp.Response, m *direct.Message) (scatter.Result, string, string) {
+func (up UpstreamProtocol) Decode(resp *fasthttp.Response, m *direct.Message) (scatter.Result, string, string) {
 	if id := resp.Header.Peek(up.Names.RequestID); len(id) > 0 && string(id) != m.ID {
 		return scatter.Lost, "", "the answer is to another request"
 	}
@@ -61,7 +61,7 @@
 )
 
 // DecodeLoad implements direct.Protocol. A report with any value out of range is ignored.
-func (up Upstreams) DecodeLoad(resp *fasthttp.Response) *direct.Load {
+func (up UpstreamProtocol) DecodeLoad(resp *fasthttp.Response) *direct.Load {
 	text := string(resp.Header.Peek(up.Names.Load))
 	if text == "" {
 		return nil
@@ -78,13 +78,13 @@
 		}
 		counts[i] = n
 	}
-	l := &direct.Load{Running: counts[0], Waiting: counts[1], Slots: counts[2], Pace: 1}
+	l := &direct.Load{Running: counts[0], Waiting: counts[1], Slots: counts[2], Slowdown: 1}
 	if len(fields) > loadCounts {
 		pace, err := strconv.ParseFloat(strings.TrimSpace(fields[loadCounts]), 64)
 		if err != nil || !(pace > 0 && pace <= maxPace) {
 			return nil
 		}
-		l.Pace = pace / paceUnit
+		l.Slowdown = pace / paceUnit
 	}
 	if l.Slots == 0 {
 		return nil
@@ -94,7 +94,7 @@
 
 // DecodeHealth implements direct.Protocol. An upstream that sends no Cold header is warm. An
 // invalid value is an error, because such an upstream cannot be trusted.
-func (up Upstreams) DecodeHealth(resp *fasthttp.Response) (direct.Health, error) {
+func (up UpstreamProtocol) DecodeHealth(resp *fasthttp.Response) (direct.Health, error) {
 	h := direct.Health{Upstream: string(resp.Header.Peek(up.Names.Upstream))}
 	text := string(resp.Header.Peek(up.Names.Cold))
 	if text == "" {
--- a/internal/wire/upstream_test.go
+++ b/internal/wire/upstream_test.go
@@ -13,8 +13,8 @@
 func TestDecodeLoad(t *testing.T) {
 	for text, want := range map[string]*direct.Load{
 		"":                nil,
-		"3,0,8":           {Running: 3, Slots: 8, Pace: 1},
-		"4, 2, 4, 250":    {Running: 4, Waiting: 2, Slots: 4, Pace: 2.5},
+		"3,0,8":           {Running: 3, Slots: 8, Slowdown: 1},
+		"4, 2, 4, 250":    {Running: 4, Waiting: 2, Slots: 4, Slowdown: 2.5},
 		"3,0":             nil,
 		"3,0,8,100,7":     nil,
 		"-1,0,8":          nil,
@@ -29,7 +29,7 @@
 	} {
 		var resp fasthttp.Response
 		resp.Header.Set("X-Load", text)
-		got := Upstreams{Names: Own()}.DecodeLoad(&resp)
+		got := UpstreamProtocol{Names: DefaultHeaderNames()}.DecodeLoad(&resp)
 		if (got == nil) != (want == nil) || got != nil && *got != *want {
 			t.Errorf("%q: %+v, want %+v", text, got, want)
 		}
@@ -44,7 +44,7 @@
 		if text != "" {
 			resp.Header.Set("X-Cold-Ms", text)
 		}
-		h, err := Upstreams{Names: Own()}.DecodeHealth(&resp)
+		h, err := UpstreamProtocol{Names: DefaultHeaderNames()}.DecodeHealth(&resp)
 		if (err != nil) != (want < 0) || err == nil && (h.ColdFor != want || h.Upstream != "u") {
 			t.Errorf("%q: %+v, %v", text, h, err)
 		}
