--- a/cmd/sycamorekeel-edge/main.go
+++ b/cmd/sycamorekeel-edge/main.go
@@ -58,7 +58,7 @@
 }
 
 func (f *flags) environment() environment {
-	env := environment{platform.LoadSettings, platform.Adapter}
+	env := environment{platform.LoadSettings, platform.NewAdapter}
 	if f.Settings != "" {
 		env = environment{
 			func() (*node.Settings, error) { return standalone.LoadSettings(f.Settings) },
