--- a/internal/callerapi/callerapi_test.go
+++ b/internal/callerapi/callerapi_test.go
@@ -131,18 +131,18 @@
 }
 
 // fakeFleet offers the first replica only, once per shard.
-type fakeFleet struct{ query.Fleet }
+type fakeFleet struct{ query.UpstreamPolicy }
 
-func (fakeFleet) Replica(_ time.Time, w query.Want) int {
+func (fakeFleet) Replica(_ time.Time, w query.ReplicaRequest) int {
 	if w.Tried != 0 {
 		return query.NoReplica
 	}
 	return 0
 }
-func (fakeFleet) Opened(time.Time, *contract.Upstream)   {}
-func (fakeFleet) Observe(time.Time, query.Observation)   {}
-func (fakeFleet) Earn(*contract.Kind, int)               {}
-func (fakeFleet) Spend(*contract.Kind, query.Cause) bool { return true }
+func (fakeFleet) RecordSend(time.Time, *contract.Upstream) {}
+func (fakeFleet) Observe(time.Time, query.Observation)     {}
+func (fakeFleet) Earn(*contract.Kind, int)                 {}
+func (fakeFleet) Spend(*contract.Kind, query.Cause) bool   { return true }
 func (fakeFleet) HedgeDelay(time.Time, *contract.Kind, *contract.Shard, int) (time.Duration, bool) {
 	return time.Hour, true
 }
@@ -175,7 +175,7 @@
 		shards:     &fakeShards{result: pb.Result_OK, answer: []byte(`{"hits":[]}`), runs: map[string]int{}},
 	}
 	registry := prometheus.NewRegistry()
-	b.shards.engine = query.NewEngine(query.EngineOptions{Fleet: fakeFleet{}, Sender: b.shards, Loops: 1, Now: time.Now, Metrics: query.NewMetrics(prometheus.NewRegistry())})
+	b.shards.engine = query.NewEngine(query.EngineOptions{Policy: fakeFleet{}, Sender: b.shards, Loops: 1, Now: time.Now, Metrics: query.NewMetrics(prometheus.NewRegistry())})
 	ctx, cancel := context.WithCancel(context.Background())
 	b.shards.engine.Start(ctx)
 	b.front = frontend.New(frontend.Options{
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -166,7 +166,7 @@
 		Deliver:     func(r *pb.SubReply) { d.engine.Deliver(r) },
 	})
 	d.engine = query.NewEngine(query.EngineOptions{
-		Fleet:   d.router,
+		Policy:  d.router,
 		Sender:  d.router,
 		Loops:   runtime.GOMAXPROCS(0),
 		Now:     time.Now,
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -223,7 +223,7 @@
 	if err != nil {
 		return nil, x.fail(err)
 	}
-	plan.Witness, plan.Trial = witness, witness.trial
+	plan.CrashGuard, plan.Trial = witness, witness.trial
 	if err := x.front.startScatter(x.kind); err != nil {
 		return nil, x.fail(err)
 	}
@@ -323,7 +323,7 @@
 // ranState reports whether any part of the request ran.
 func ranState(o *query.Outcome) refusal.Ran {
 	switch {
-	case o.Unsure:
+	case o.MayHaveRun:
 		return refusal.Unknown
 	case o.Ran:
 		return refusal.DidRun
--- a/internal/frontend/scatter.go
+++ b/internal/frontend/scatter.go
@@ -53,7 +53,7 @@
 func saturatedShards(o *query.Outcome) int {
 	n := 0
 	for i := range o.Shards {
-		if o.Shards[i].FoundNoRoom() {
+		if o.Shards[i].RefusedForCapacity() {
 			n++
 		}
 	}
--- a/internal/frontend/witness.go
+++ b/internal/frontend/witness.go
@@ -20,7 +20,7 @@
 const heldRetry = time.Second
 
 // witness reports to the guard whether upstreams crash while they run one request.
-// It implements query.Witness.
+// It implements query.CrashGuard.
 type witness struct {
 	guard   *poison.Guard
 	subject func() poison.Request
@@ -58,8 +58,8 @@
 	}
 }
 
-// Ended implements query.Witness.
-func (w *witness) Ended(u *contract.Upstream, sentAt, endedAt time.Time) {
+// RecordCrash implements query.CrashGuard.
+func (w *witness) RecordCrash(u *contract.Upstream, sentAt, endedAt time.Time) {
 	w.ended.Store(true)
 	if w.survived.Load() {
 		return
@@ -67,15 +67,15 @@
 	w.guard.Crashed(endedAt, w.subject(), quarantine.Crash{Instance: upstreamHash(u), SentAt: sentAt, EndedAt: endedAt})
 }
 
-// Survived implements query.Witness.
-func (w *witness) Survived(now time.Time) {
+// RecordSurvival implements query.CrashGuard.
+func (w *witness) RecordSurvival(now time.Time) {
 	if w.survived.Swap(true) {
 		return
 	}
 	w.guard.Survived(now, w.subject())
 }
 
-// Blocked implements query.Witness.
+// Blocked implements query.CrashGuard.
 func (w *witness) Blocked(now time.Time) bool {
 	return !w.guard.Empty() && w.guard.Blocked(now, w.subject().Content)
 }
--- a/internal/query/bench_test.go
+++ b/internal/query/bench_test.go
@@ -55,7 +55,7 @@
 	}}
 	var e *query.Engine
 	r := router.New(router.Options{VM: "vm-1", Direct: true, Owner: &instantOwner{body: benchBody(hits)}, Deliver: func(rep *pb.SubReply) { e.Deliver(rep) }})
-	e = query.NewEngine(query.EngineOptions{Fleet: r, Sender: r, Loops: 4, Now: time.Now, Metrics: query.NewMetrics(prometheus.NewRegistry())})
+	e = query.NewEngine(query.EngineOptions{Policy: r, Sender: r, Loops: 4, Now: time.Now, Metrics: query.NewMetrics(prometheus.NewRegistry())})
 	ctx, cancel := context.WithCancel(context.Background())
 	e.Start(ctx)
 	b.ReportAllocs()
--- a/internal/query/capacity.go
+++ b/internal/query/capacity.go
@@ -2,10 +2,10 @@
 
 import "sycamorekeel.example/sycamorekeel/internal/pb"
 
-// FoundNoRoom reports whether an owner or upstream refused the shard at least once for
+// RefusedForCapacity reports whether an owner or upstream refused the shard at least once for
 // lack of capacity: it shed the sub-request, its queue was full, or it could not start
 // it in time.
-func (s *ShardOutcome) FoundNoRoom() bool {
+func (s *ShardOutcome) RefusedForCapacity() bool {
 	for i := range s.Attempts {
 		switch s.Attempts[i].Result {
 		case resultLabel(pb.Result_SHED), resultLabel(pb.Result_QUEUE_FULL), resultLabel(pb.Result_TOO_LATE):
--- a/internal/query/engine.go
+++ b/internal/query/engine.go
@@ -27,7 +27,7 @@
 
 // EngineOptions configures an Engine.
 type EngineOptions struct {
-	Fleet  Fleet
+	Policy UpstreamPolicy
 	Sender Sender
 	// Loops is the number of workers that share the queries. Values outside 1 to
 	// maxLoops are clamped.
@@ -76,7 +76,7 @@
 // queries.
 func (e *Engine) Run(ctx context.Context, plan *Plan) (*Outcome, error) {
 	l := e.loops[e.next.Add(1)%uint64(len(e.loops))]
-	run := newRunningQuery(New(plan, e.opts.Fleet), plan)
+	run := newRunningQuery(New(plan, e.opts.Policy), plan)
 	l.post(event{start: run})
 	for {
 		select {
--- a/internal/query/harness_test.go
+++ b/internal/query/harness_test.go
@@ -66,7 +66,7 @@
 	return h
 }
 
-func (h *harness) Replica(_ time.Time, w Want) int {
+func (h *harness) Replica(_ time.Time, w ReplicaRequest) int {
 	for i, u := range w.Shard.Replicas {
 		if w.Tried&(1<<i) == 0 && !h.unavailable[u.ID] {
 			return i
@@ -74,7 +74,7 @@
 	}
 	return NoReplica
 }
-func (h *harness) Opened(time.Time, *contract.Upstream) {}
+func (h *harness) RecordSend(time.Time, *contract.Upstream) {}
 func (h *harness) HedgeDelay(time.Time, *contract.Kind, *contract.Shard, int) (time.Duration, bool) {
 	return 10 * ms, true
 }
--- a/internal/query/isolation.go
+++ b/internal/query/isolation.go
@@ -16,10 +16,10 @@
 	switch {
 	case r.Result == pb.Result_OK || r.Result == pb.Result_UPSTREAM_ERROR:
 		q.isolation.Survived()
-		q.witness.Survived(now)
+		q.witness.RecordSurvival(now)
 	case r.UpstreamEnded:
 		q.isolation.Crashed(a.isolated)
-		q.witness.Ended(a.upstream, q.started.Add(a.sentAt), now)
+		q.witness.RecordCrash(a.upstream, q.started.Add(a.sentAt), now)
 	case r.Result == pb.Result_SHED || r.Result == pb.Result_UPSTREAM_LEAVING || r.Result == pb.Result_NO_SNAPSHOT:
 		q.isolation.Refused(a.isolated)
 	case !provesNotRun(r.Result):
--- a/internal/query/isolation_test.go
+++ b/internal/query/isolation_test.go
@@ -15,9 +15,11 @@
 	blocked  bool
 }
 
-func (w *fakeWitness) Ended(u *contract.Upstream, _, _ time.Time) { w.ended = append(w.ended, u.ID) }
-func (w *fakeWitness) Survived(time.Time)                         { w.survived++ }
-func (w *fakeWitness) Blocked(time.Time) bool                     { return w.blocked }
+func (w *fakeWitness) RecordCrash(u *contract.Upstream, _, _ time.Time) {
+	w.ended = append(w.ended, u.ID)
+}
+func (w *fakeWitness) RecordSurvival(time.Time) { w.survived++ }
+func (w *fakeWitness) Blocked(time.Time) bool   { return w.blocked }
 
 // newIsolationHarness returns a harness whose budgets allow any number of retries.
 func newIsolationHarness(t *testing.T, shards int, trial bool) (*harness, *fakeWitness) {
@@ -25,7 +27,7 @@
 	h.hedge.Earn(1000)
 	h.retry.Earn(1000)
 	w := &fakeWitness{}
-	h.plan.Trial, h.plan.Witness = trial, w
+	h.plan.Trial, h.plan.CrashGuard = trial, w
 	h.query = New(h.plan, h)
 	return h.start(), w
 }
--- a/internal/query/non_idempotent_test.go
+++ b/internal/query/non_idempotent_test.go
@@ -26,7 +26,7 @@
 // permissiveFleet picks the replicas in turn and allows every hedge and retry.
 type permissiveFleet struct{}
 
-func (permissiveFleet) Replica(_ time.Time, w Want) int {
+func (permissiveFleet) Replica(_ time.Time, w ReplicaRequest) int {
 	for i := range w.Shard.Replicas {
 		if w.Tried&(1<<i) == 0 {
 			return i
@@ -34,10 +34,10 @@
 	}
 	return NoReplica
 }
-func (permissiveFleet) Opened(time.Time, *contract.Upstream) {}
-func (permissiveFleet) Observe(time.Time, Observation)       {}
-func (permissiveFleet) Earn(*contract.Kind, int)             {}
-func (permissiveFleet) Spend(*contract.Kind, Cause) bool     { return true }
+func (permissiveFleet) RecordSend(time.Time, *contract.Upstream) {}
+func (permissiveFleet) Observe(time.Time, Observation)           {}
+func (permissiveFleet) Earn(*contract.Kind, int)                 {}
+func (permissiveFleet) Spend(*contract.Kind, Cause) bool         { return true }
 func (permissiveFleet) Repin(time.Time, *contract.Service, *pb.Snapshot) (*contract.ShardMap, *pb.Snapshot, bool) {
 	m := nonIdempotentPlan(time.Time{}).Map
 	return m, &pb.Snapshot{Generation: 1, Version: 2}, true
@@ -100,7 +100,7 @@
 }
 
 func (c *queryTracker) check(t *rapid.T) {
-	if c.outcome == nil || c.outcome.Ran || c.outcome.Unsure {
+	if c.outcome == nil || c.outcome.Ran || c.outcome.MayHaveRun {
 		return
 	}
 	for id, r := range c.results {
@@ -191,8 +191,8 @@
 				actions = q.Decoded(plan.Deadline.Add(time.Millisecond), last.Attempt, nil, nil)
 			}
 			out := actions[len(actions)-1].Outcome
-			if out.Ran != c.ran || out.Unsure != c.unsure {
-				t.Fatalf("ran %v, unsure %v", out.Ran, out.Unsure)
+			if out.Ran != c.ran || out.MayHaveRun != c.unsure {
+				t.Fatalf("ran %v, unsure %v", out.Ran, out.MayHaveRun)
 			}
 		})
 	}
@@ -202,7 +202,7 @@
 		q.Start(time.Unix(1000, 0))
 		q.Wake(plan.Deadline)
 		actions := q.Wake(plan.ConfirmBy)
-		if out := actions[len(actions)-1].Outcome; !out.Unsure {
+		if out := actions[len(actions)-1].Outcome; !out.MayHaveRun {
 			t.Fatal("the outcome reports an open attempt as not run")
 		}
 	})
--- a/internal/query/outcome.go
+++ b/internal/query/outcome.go
@@ -16,7 +16,7 @@
 	// in all queried shards of the pinned map.
 	Covered, Total uint64
 	// Ran is set if some sub-request ran, Unsure if some sub-request may have run.
-	Ran, Unsure bool
+	Ran, MayHaveRun bool
 	// TimedOut is set if a shard is missing because of the deadline.
 	TimedOut bool
 	// Restarts lists the changes of the pinned snapshot.
--- a/internal/query/plan.go
+++ b/internal/query/plan.go
@@ -39,17 +39,17 @@
 	// had the same request: one upstream is asked alone, and the others once it has
 	// survived.
 	Trial bool
-	// Witness records how upstreams fare with this request. It may be nil.
-	Witness Witness
+	// CrashGuard records how upstreams fare with this request. It may be nil.
+	CrashGuard CrashGuard
 }
 
-// Witness records which upstreams end and which survive while they handle a request. It
+// CrashGuard records which upstreams end and which survive while they handle a request. It
 // is called from the worker of the query and must not block.
-type Witness interface {
-	// Ended records that an upstream ended while it had the request.
-	Ended(u *contract.Upstream, sentAt, endedAt time.Time)
-	// Survived records that an upstream has run the request and is still alive.
-	Survived(now time.Time)
+type CrashGuard interface {
+	// RecordCrash records that an upstream ended while it had the request.
+	RecordCrash(u *contract.Upstream, sentAt, endedAt time.Time)
+	// RecordSurvival records that an upstream has run the request and is still alive.
+	RecordSurvival(now time.Time)
 	// Blocked reports whether the request must no longer be sent to any upstream.
 	Blocked(now time.Time) bool
 }
@@ -57,9 +57,9 @@
 // nopWitness is a Witness that records nothing.
 type nopWitness struct{}
 
-func (nopWitness) Ended(*contract.Upstream, time.Time, time.Time) {}
-func (nopWitness) Survived(time.Time)                             {}
-func (nopWitness) Blocked(time.Time) bool                         { return false }
+func (nopWitness) RecordCrash(*contract.Upstream, time.Time, time.Time) {}
+func (nopWitness) RecordSurvival(time.Time)                             {}
+func (nopWitness) Blocked(time.Time) bool                               { return false }
 
 // shardsIn returns the shards of a map that the plan queries.
 func (p *Plan) shardsIn(m *contract.ShardMap) []*contract.Shard {
@@ -70,13 +70,13 @@
 	return m.Shards[i : i+1]
 }
 
-// Fleet provides replica selection, latency statistics and budgets to a query. Its
+// UpstreamPolicy provides replica selection, latency statistics and budgets to a query. Its
 // methods must return quickly and must not block.
-type Fleet interface {
+type UpstreamPolicy interface {
 	// Replica returns the index of the best replica for a sub-request, or NoReplica.
-	Replica(now time.Time, w Want) int
-	// Opened records that a sub-request is sent to an upstream.
-	Opened(now time.Time, u *contract.Upstream)
+	Replica(now time.Time, w ReplicaRequest) int
+	// RecordSend records that a sub-request is sent to an upstream.
+	RecordSend(now time.Time, u *contract.Upstream)
 	// HedgeDelay returns how long to wait for a replica of the shard before a hedge. If
 	// known is false, no latencies are known and the delay is a guess.
 	HedgeDelay(now time.Time, k *contract.Kind, shard *contract.Shard, replica int) (delay time.Duration, known bool)
@@ -96,8 +96,8 @@
 // sub-request.
 const NoReplica = -1
 
-// Want describes a sub-request that needs a replica.
-type Want struct {
+// ReplicaRequest describes a sub-request that needs a replica.
+type ReplicaRequest struct {
 	Shard    *contract.Shard
 	Snapshot *pb.Snapshot
 	// Bit i of Tried is set when replica i has already been asked.
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -17,7 +17,7 @@
 // call. A Query is not safe for concurrent use.
 type Query struct {
 	plan     *Plan
-	fleet    Fleet
+	fleet    UpstreamPolicy
 	started  time.Time
 	snapshot *pb.Snapshot
 	targets  []*contract.Shard
@@ -41,7 +41,7 @@
 	restarts           []RestartRecord
 	stats              Stats
 	isolation          quarantine.Isolation
-	witness            Witness
+	witness            CrashGuard
 	actions            []Action
 	// buffers is the backing memory of shards, timers and actions.
 	buffers *buffers
@@ -138,8 +138,8 @@
 )
 
 // New returns a query that has sent nothing. Start begins it.
-func New(plan *Plan, fleet Fleet) *Query {
-	q := &Query{plan: plan, fleet: fleet, isolation: quarantine.Isolation{Trial: plan.Trial}, witness: plan.Witness}
+func New(plan *Plan, fleet UpstreamPolicy) *Query {
+	q := &Query{plan: plan, fleet: fleet, isolation: quarantine.Isolation{Trial: plan.Trial}, witness: plan.CrashGuard}
 	if q.witness == nil {
 		q.witness = nopWitness{}
 	}
@@ -555,14 +555,14 @@
 
 func (q *Query) outcome() *Outcome {
 	out := &Outcome{
-		Snapshot: q.snapshot,
-		Covered:  q.coveredDocuments,
-		Total:    q.totalDocuments,
-		Ran:      q.ran,
-		Unsure:   q.mayHaveRun,
-		Restarts: q.restarts,
-		Stats:    q.stats,
-		Shards:   make([]ShardOutcome, len(q.shards)),
+		Snapshot:   q.snapshot,
+		Covered:    q.coveredDocuments,
+		Total:      q.totalDocuments,
+		Ran:        q.ran,
+		MayHaveRun: q.mayHaveRun,
+		Restarts:   q.restarts,
+		Stats:      q.stats,
+		Shards:     make([]ShardOutcome, len(q.shards)),
 	}
 	records := make([]AttemptRecord, 0, len(q.shards))
 	for i := range q.shards {
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -283,8 +283,8 @@
 	h.take(h.query.Wake(h.now))
 	h.decode()
 	out := h.wantOutcome(20, "", "", MissingDeadline)
-	if !out.TimedOut || !out.Unsure {
-		t.Errorf("timed out %v, unsure %v", out.TimedOut, out.Unsure)
+	if !out.TimedOut || !out.MayHaveRun {
+		t.Errorf("timed out %v, unsure %v", out.TimedOut, out.MayHaveRun)
 	}
 }
 
--- a/internal/query/retry.go
+++ b/internal/query/retry.go
@@ -73,7 +73,7 @@
 	if q.mustHold(now, n.cause) {
 		return q.holdAttempt(now, shard, n)
 	}
-	replica := q.fleet.Replica(now, Want{
+	replica := q.fleet.Replica(now, ReplicaRequest{
 		Shard:    q.targets[shard],
 		Snapshot: q.snapshot,
 		Tried:    sh.tried,
@@ -104,7 +104,7 @@
 	target := q.targets[shard]
 	u := target.Replicas[replica]
 	id := AttemptID{Round: len(q.restarts), Shard: shard, Try: len(sh.attempts)}
-	q.fleet.Opened(now, u)
+	q.fleet.RecordSend(now, u)
 	q.stats.recordSend(n.cause, n.after)
 	sh.tried |= 1 << replica
 	sh.attempts = append(sh.attempts, attempt{
--- a/internal/router/replica.go
+++ b/internal/router/replica.go
@@ -71,7 +71,7 @@
 // when the others are busy or when its exploration is due.
 const coldCostFactor = 4
 
-// maxReplicas is how many replicas of a shard are considered: query.Want has one
+// maxReplicas is how many replicas of a shard are considered: query.ReplicaRequest has one
 // bit for each.
 const maxReplicas = 64
 
@@ -155,7 +155,7 @@
 // mean latency times the sub-requests open from this VM, including the new one.
 // Replicas of similar cost take turns. A replica that is down is used only if there
 // is no other; one that is draining or lacks the snapshot is never used.
-func (r *Router) Replica(now time.Time, w query.Want) int {
+func (r *Router) Replica(now time.Time, w query.ReplicaRequest) int {
 	var buf [8]candidate
 	list := r.candidates(now, w, buf[:0])
 	if len(list) == 0 {
@@ -167,9 +167,9 @@
 	return r.pickCheapest(list, w.Explore).index
 }
 
-// Opened records that a sub-request is sent to an upstream. Observe ends
+// RecordSend records that a sub-request is sent to an upstream. Observe ends
 // the attempt.
-func (r *Router) Opened(now time.Time, u *contract.Upstream) {
+func (r *Router) RecordSend(now time.Time, u *contract.Upstream) {
 	st := r.upstream(u.ID)
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -180,7 +180,7 @@
 
 // candidates appends to list the replicas that may serve w. Replicas that are down
 // are included only if all usable ones are down.
-func (r *Router) candidates(now time.Time, w query.Want, list []candidate) []candidate {
+func (r *Router) candidates(now time.Time, w query.ReplicaRequest, list []candidate) []candidate {
 	key := readiness.KeyOf(w.Snapshot)
 	best := readiness.Down
 	for i, u := range w.Shard.Replicas[:min(len(w.Shard.Replicas), maxReplicas)] {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -102,7 +102,7 @@
 	for _, u := range s.Replicas {
 		r.Observe(start, query.Observation{Upstream: u, Snapshot: v8, Reply: &pb.SubReply{Result: pb.Result_NO_SNAPSHOT}})
 	}
-	if i := r.Replica(start, query.Want{Shard: s, Snapshot: v8}); i != query.NoReplica {
+	if i := r.Replica(start, query.ReplicaRequest{Shard: s, Snapshot: v8}); i != query.NoReplica {
 		t.Errorf("replica %d was chosen for a snapshot it lacks", i)
 	}
 	if v := pinnedVersion(start); v != 7 {
@@ -112,7 +112,7 @@
 		t.Errorf("restarts at %v, %v", snapshot, ok)
 	}
 	r.Status(start, &pb.UpstreamStatus{Upstream: s.Replicas[0].ID, State: pb.UpstreamState_DRAINING})
-	if i := r.Replica(start, query.Want{Shard: s, Snapshot: snapshot7}); i != 1 {
+	if i := r.Replica(start, query.ReplicaRequest{Shard: s, Snapshot: snapshot7}); i != 1 {
 		t.Errorf("replica %d was chosen, want the one that is not draining", i)
 	}
 	if v := pinnedVersion(start.Add(10 * time.Minute)); v != 8 {
@@ -127,8 +127,8 @@
 	v := viewOf("vm-1")
 	kept, gone := &contract.Upstream{ID: "search/0"}, &contract.Upstream{ID: "search/1"}
 	r.Update(v, ownership.Assign(v.Serving(), []*contract.Upstream{kept, gone}))
-	r.Opened(start, kept)
-	r.Opened(start, gone)
+	r.RecordSend(start, kept)
+	r.RecordSend(start, gone)
 	r.Update(v, ownership.Assign(v.Serving(), []*contract.Upstream{kept}))
 	if _, ok := r.upstreams.Load(gone.ID); ok {
 		t.Error("the state of a removed upstream was kept")
