--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -145,15 +145,15 @@
 	state.slotDemand = max(want, state.slotDemand*slotDemandDecay)
 	state.peakRunning, state.slotRefusals = state.running, 0
 	return share.Usage{
-		Rate:        state.arrivals.rate(now),
-		Concurrency: int(state.slotDemand + 0.5),
-		Running:     state.running,
-		Ready:       state.bucket.ready(now),
+		Rate:           state.arrivals.rate(now),
+		Concurrency:    int(state.slotDemand + 0.5),
+		Running:        state.running,
+		TokenAvailable: state.bucket.ready(now),
 	}
 }
 
-// Ready reports whether the rate admits a request at now.
-func (c *Controller) Ready(now time.Time, kind share.Kind) bool {
+// TokenAvailable reports whether the rate admits a request at now.
+func (c *Controller) TokenAvailable(now time.Time, kind share.Kind) bool {
 	return c.state(kind).bucket.ready(now)
 }
 
--- a/internal/daemon/shares.go
+++ b/internal/daemon/shares.go
@@ -74,10 +74,10 @@
 		members := set.Names()
 		for _, k := range c.Kinds {
 			limits = append(limits, share.Limit{
-				Kind:    admission.KindOf(k),
-				Amount:  admission.LimitOf(k),
-				Members: members,
-				Hold:    k.Deadline(),
+				Kind:        admission.KindOf(k),
+				Amount:      admission.LimitOf(k),
+				Members:     members,
+				MaxDuration: k.Deadline(),
 			})
 			if set.Contains(s.d.settings.Vm) {
 				served = append(served, admission.KindOf(k))
@@ -108,10 +108,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if !s.state.Settled(now) {
+	if !s.state.FormerLoansExpired(now) {
 		return "this VM waits until the loans of its former incarnation have ended"
 	}
-	if !s.admitsServedKinds(now) && !s.state.Settled(now.Add(-maxFillWait)) {
+	if !s.admitsServedKinds(now) && !s.state.FormerLoansExpired(now.Add(-maxFillWait)) {
 		return "this VM's part of a low rate does not allow a first request yet"
 	}
 	s.ready.Store(true)
@@ -122,7 +122,7 @@
 // holds mu.
 func (s *shares) admitsServedKinds(now time.Time) bool {
 	for _, kind := range s.served {
-		if !s.controller.Ready(now, kind) {
+		if !s.controller.TokenAvailable(now, kind) {
 			return false
 		}
 	}
@@ -131,7 +131,7 @@
 
 // run steps the protocol at every tick until ctx ends.
 func (s *shares) run(ctx context.Context) error {
-	tick := time.NewTicker(s.timing.Tick())
+	tick := time.NewTicker(s.timing.TickInterval())
 	defer tick.Stop()
 	for {
 		select {
@@ -146,13 +146,13 @@
 // handleLoan handles a loan from a peer.
 func (s *shares) handleLoan(from *pb.Hello, m *pb.ShareLoan) {
 	s.metrics.received.WithLabelValues("loan").Inc()
-	s.step(share.Lent{From: from.Vm, Message: m})
+	s.step(share.LoanReceived{From: from.Vm, Message: m})
 }
 
 // handleAck handles a peer's confirmation of a loan or its demand for one.
 func (s *shares) handleAck(from *pb.Hello, m *pb.ShareAck) {
 	s.metrics.received.WithLabelValues("ack").Inc()
-	s.step(share.Ack{From: from.Vm, Message: m})
+	s.step(share.AckReceived{From: from.Vm, Message: m})
 }
 
 // step passes an event to the protocol; nil is a tick. Shares change under the lock
@@ -166,7 +166,7 @@
 	}
 	actions := s.state.Step(now, e)
 	for _, a := range actions {
-		if a, ok := a.(share.Set); ok {
+		if a, ok := a.(share.ApplyShare); ok {
 			s.set(now, a)
 		}
 	}
@@ -178,7 +178,7 @@
 
 // set applies a share to the admission controller, and removes the kind if the share
 // is empty. The caller holds mu.
-func (s *shares) set(now time.Time, a share.Set) {
+func (s *shares) set(now time.Time, a share.ApplyShare) {
 	s.controller.SetShare(now, a.Kind, a.Share)
 	if a.Share.Base == (share.Amount{}) && len(a.Share.Loans) == 0 {
 		s.controller.Remove(a.Kind)
--- a/internal/frontend/operations.go
+++ b/internal/frontend/operations.go
@@ -160,7 +160,7 @@
 // isLocal reports whether the key names this incarnation. It needs no lock: the
 // fields that the table compares are immutable.
 func (o *Operations) isLocal(key *once.Key) bool {
-	return o.table.Names(&key.Lease)
+	return o.table.IssuedBySelf(&key.Lease)
 }
 
 // Local executes a request whose key names this VM, received from a caller or
@@ -174,7 +174,7 @@
 	switch d.Verdict {
 	case once.New:
 		return o.run(ctx, k, req, key, p)
-	case once.Known:
+	case once.Decided:
 		return d.Outcome
 	case once.Running:
 		return o.await(ctx, k, req, p)
--- a/internal/once/conformance_test.go
+++ b/internal/once/conformance_test.go
@@ -152,7 +152,7 @@
 }
 
 func (s *protocolModel) begin(rt *rapid.T, op *operation, reading time.Duration) {
-	if !s.home.Names(&op.key.Lease) {
+	if !s.home.IssuedBySelf(&op.key.Lease) {
 		return // answered unknown
 	}
 	d := s.home.Begin(reading, "office", op.key, once.Digest{}, confMaxOperations)
@@ -165,7 +165,7 @@
 			return
 		}
 		s.dispatch(rt, op)
-	case once.Known:
+	case once.Decided:
 		s.answerCaller(rt, op, d.Outcome)
 	case once.Full:
 		s.home.Refuse(s.now, "office", op.key, outcomeNotRun)
--- a/internal/once/once_test.go
+++ b/internal/once/once_test.go
@@ -110,13 +110,13 @@
 		steps []tableStep
 	}{
 		{"a resend gets the first outcome", []tableStep{
-			{1, 1, "a", "", New}, {2, 1, "a", "", Running}, {3, 1, "", "ran", 0}, {4, 1, "a", "", Known},
+			{1, 1, "a", "", New}, {2, 1, "a", "", Running}, {3, 1, "", "ran", 0}, {4, 1, "a", "", Decided},
 		}},
 		{"the outcome is kept past the end of the lease", []tableStep{
-			{9, 1, "a", "", New}, {9, 1, "", "ran", 0}, {14, 1, "a", "", Known}, {14, 2, "a", "", Expired}, {15, 1, "a", "", Forgotten},
+			{9, 1, "a", "", New}, {9, 1, "", "ran", 0}, {14, 1, "a", "", Decided}, {14, 2, "a", "", Expired}, {15, 1, "a", "", Forgotten},
 		}},
 		{"a refused operation stays refused", []tableStep{
-			{1, 1, "a", "", New}, {1, 1, "", "refused", 0}, {2, 1, "a", "", Known},
+			{1, 1, "a", "", New}, {1, 1, "", "refused", 0}, {2, 1, "a", "", Decided},
 		}},
 		{"a running operation is never removed", []tableStep{
 			{1, 1, "a", "", New}, {40, 1, "a", "", Running}, {41, 1, "", "ran", 0}, {42, 2, "a", "", Forgotten},
@@ -126,7 +126,7 @@
 		}},
 		{"a fifth operation exceeds the limit", []tableStep{
 			{1, 1, "a", "", New}, {1, 2, "a", "", New}, {1, 3, "a", "", New}, {1, 4, "a", "", New},
-			{1, 5, "a", "", Full}, {1, 1, "a", "", Running}, {1, 5, "a", "", Known},
+			{1, 5, "a", "", Full}, {1, 1, "a", "", Running}, {1, 5, "a", "", Decided},
 		}},
 		// A request must not run again after its lease has expired: a handler
 		// reads the clock and is paused, another one causes the operations of
@@ -218,7 +218,7 @@
 			t.Fatalf("%d starts again: started %v, not run %v", k.key.Counter, k.started, k.notRun)
 		}
 		k.started = true
-	case Known:
+	case Decided:
 		if d.Outcome != k.outcome {
 			t.Fatalf("outcome %q, want %q", d.Outcome, k.outcome)
 		}
--- a/internal/once/table.go
+++ b/internal/once/table.go
@@ -12,9 +12,9 @@
 const (
 	// New: run the request, then call Finish.
 	New Verdict = iota + 1
-	// Known: the operation has run or was refused. Decision.Outcome is its
+	// Decided: the operation has run or was refused. Decision.Outcome is its
 	// first outcome.
-	Known
+	Decided
 	// Running: the first copy is in progress. Wait for its outcome.
 	Running
 	// Foreign: this incarnation did not issue the key to the customer.
@@ -142,9 +142,9 @@
 	return t.issuer.issue(customer, t.now+t.opts.Life)
 }
 
-// Names reports whether the lease's text names this incarnation. It does not
+// IssuedBySelf reports whether the lease's text names this incarnation. It does not
 // verify the MAC. It is safe to call concurrently with the other methods.
-func (t *Table[O]) Names(l *Lease) bool {
+func (t *Table[O]) IssuedBySelf(l *Lease) bool {
 	return t.issuer.issued(l)
 }
 
@@ -161,7 +161,7 @@
 		return op.decideRepeat(digest)
 	}
 	if o, ok := c.refused[id]; ok {
-		return Decision[O]{Verdict: Known, Outcome: o}
+		return Decision[O]{Verdict: Decided, Outcome: o}
 	}
 	if v := t.notStartable(c, key); v != 0 {
 		return Decision[O]{Verdict: v}
@@ -178,7 +178,7 @@
 	case op.digest != digest:
 		return Decision[O]{Verdict: Mismatch}
 	case op.finished:
-		return Decision[O]{Verdict: Known, Outcome: op.outcome}
+		return Decision[O]{Verdict: Decided, Outcome: op.outcome}
 	default:
 		return Decision[O]{Verdict: Running}
 	}
--- a/internal/share/borrow.go
+++ b/internal/share/borrow.go
@@ -105,7 +105,7 @@
 		return s.timing.Lease / 4
 	}
 	e.failedRequests = min(e.failedRequests+1, 3)
-	return s.timing.Tick() << (e.failedRequests - 1)
+	return s.timing.TickInterval() << (e.failedRequests - 1)
 }
 
 // confirmLoans marks the newest loans as confirmed once the running requests
--- a/internal/share/lend.go
+++ b/internal/share/lend.go
@@ -132,7 +132,7 @@
 	grants := divideProportionally(e.effective.minus(e.reserved().max(need)), e.wantedBy(names))
 	keep := e.reserved()
 	keep.Concurrency = max(keep.Concurrency, u.Running)
-	if !u.Ready {
+	if !u.TokenAvailable {
 		keep.Rate, keep.Burst = e.effective.Rate, e.effective.Burst
 	}
 	free := e.effective.minus(e.outstanding(now)).minus(keep)
--- a/internal/share/message_test.go
+++ b/internal/share/message_test.go
@@ -28,7 +28,7 @@
 func (s *testVM) step(e share.Event) {
 	s.sent = nil
 	for _, a := range s.state.Step(s.now, e) {
-		if set, ok := a.(share.Set); ok {
+		if set, ok := a.(share.ApplyShare); ok {
 			s.share = set.Share
 			continue
 		}
@@ -76,7 +76,7 @@
 		t.Run(r.name, func(t *testing.T) {
 			s := newTestVM().after(5 * time.Second)
 			s.tick(share.Usage{})
-			s.step(share.Lent{From: r.from, Message: loan(r.edit)})
+			s.step(share.LoanReceived{From: r.from, Message: loan(r.edit)})
 			NewWithT(t).Expect(s.share.At(s.now).Rate).To(BeNumerically("~", r.want, 1e-9))
 		})
 	}
@@ -94,8 +94,8 @@
 		t.Run(name, func(t *testing.T) {
 			s := newTestVM().after(5 * time.Second)
 			s.tick(share.Usage{})
-			s.step(share.Lent{From: "b", Message: loan(func(m *pb.ShareLoan) { m.Rate = 1 })})
-			s.step(share.Lent{From: "b", Message: loan(late)})
+			s.step(share.LoanReceived{From: "b", Message: loan(func(m *pb.ShareLoan) { m.Rate = 1 })})
+			s.step(share.LoanReceived{From: "b", Message: loan(late)})
 			NewWithT(t).Expect(s.share.At(s.now).Rate).To(BeNumerically("~", 41, 1e-9))
 		})
 	}
@@ -109,7 +109,7 @@
 	s.tick(share.Usage{})
 	s.step(share.Configured{Limits: []share.Limit{limitOf(120, 60, "a", "c", "d")}})
 	s.step(share.Configured{Limits: []share.Limit{threeMembers(120, 60)}})
-	s.step(share.Lent{From: "b", Message: loan(func(*pb.ShareLoan) {})})
+	s.step(share.LoanReceived{From: "b", Message: loan(func(*pb.ShareLoan) {})})
 	NewWithT(t).Expect(s.share.Loans).To(BeEmpty())
 }
 
@@ -117,11 +117,11 @@
 // demand is low: otherwise more requests run than the limit allows.
 func TestRunningRequestsAreNotLent(t *testing.T) {
 	s := newTestVM().after(5 * time.Second)
-	s.tick(share.Usage{Ready: true})
-	s.step(share.Ack{From: "b", Message: &pb.ShareAck{
+	s.tick(share.Usage{TokenAvailable: true})
+	s.step(share.AckReceived{From: "b", Message: &pb.ShareAck{
 		Customer: search.Customer, Kind: search.Name, Demand: 100, Concurrent: 60, Burst: 60, Incarnation: 1, StampUs: 1,
 	}})
-	s.tick(share.Usage{Running: 15, Ready: true})
+	s.tick(share.Usage{Running: 15, TokenAvailable: true})
 	NewWithT(t).Expect(s.sent).To(HaveLen(1))
 	NewWithT(t).Expect(s.sent[0].(share.SendLoan).Message.Concurrency).To(BeNumerically("==", 5))
 	NewWithT(t).Expect(s.share.Base.Concurrency).To(Equal(15))
@@ -130,14 +130,14 @@
 // A stale duplicate of a request must not replace a newer one: the lender would
 // count a loan as returned that is still in use.
 func TestReorderedRequestsAreIgnored(t *testing.T) {
-	ask := func(stamp uint64, want float64) share.Ack {
-		return share.Ack{From: "b", Message: &pb.ShareAck{Customer: search.Customer, Kind: search.Name, Demand: want, Incarnation: 1, StampUs: stamp}}
+	ask := func(stamp uint64, want float64) share.AckReceived {
+		return share.AckReceived{From: "b", Message: &pb.ShareAck{Customer: search.Customer, Kind: search.Name, Demand: want, Incarnation: 1, StampUs: stamp}}
 	}
 	s := newTestVM().after(5 * time.Second)
-	s.tick(share.Usage{Ready: true})
+	s.tick(share.Usage{TokenAvailable: true})
 	s.step(ask(20, 5))
 	s.step(ask(10, 30))
-	s.tick(share.Usage{Ready: true})
+	s.tick(share.Usage{TokenAvailable: true})
 	NewWithT(t).Expect(s.sent).To(HaveLen(1))
 	m := s.sent[0].(share.SendLoan).Message
 	NewWithT(t).Expect(m.Rate).To(BeNumerically("~", 5, 1e-9))
@@ -149,7 +149,7 @@
 func TestVMOutsideHomeSetUsesNothing(t *testing.T) {
 	s := newTestVM().after(5 * time.Second)
 	s.tick(share.Usage{})
-	s.step(share.Lent{From: "b", Message: loan(func(*pb.ShareLoan) {})})
+	s.step(share.LoanReceived{From: "b", Message: loan(func(*pb.ShareLoan) {})})
 	NewWithT(t).Expect(s.share.Loans).To(HaveLen(1))
 	s.step(share.Configured{Limits: []share.Limit{limitOf(120, 60, "b", "c", "d")}})
 	NewWithT(t).Expect(s.share.At(s.now)).To(Equal(share.Amount{}))
--- a/internal/share/network_test.go
+++ b/internal/share/network_test.go
@@ -94,8 +94,8 @@
 func newNetwork(t fataler, seed uint64, limit share.Limit) *network {
 	n := &network{t: t, random: rand.New(rand.NewPCG(seed, 7)), maxDelay: 30 * time.Millisecond, blocked: map[[2]string]bool{}}
 	for i, name := range limit.Members {
-		v := &vm{name: name, clockRate: 1 + clockDrift*float64(i%3-1), offset: time.Duration(i) * time.Hour, view: limit, requestDuration: limit.Hold}
-		v.nextTick = time.Duration(n.random.Int64N(int64(timing.Tick())))
+		v := &vm{name: name, clockRate: 1 + clockDrift*float64(i%3-1), offset: time.Duration(i) * time.Hour, view: limit, requestDuration: limit.MaxDuration}
+		v.nextTick = time.Duration(n.random.Int64N(int64(timing.TickInterval())))
 		n.vms = append(n.vms, v)
 		n.restart(v)
 	}
@@ -104,10 +104,10 @@
 
 func limitOf(rate float64, concurrency int, members ...string) share.Limit {
 	return share.Limit{
-		Kind:    search,
-		Amount:  share.Amount{Rate: rate, Burst: concurrency, Concurrency: concurrency},
-		Members: members,
-		Hold:    600 * time.Millisecond,
+		Kind:        search,
+		Amount:      share.Amount{Rate: rate, Burst: concurrency, Concurrency: concurrency},
+		Members:     members,
+		MaxDuration: 600 * time.Millisecond,
 	}
 }
 
@@ -137,12 +137,12 @@
 func (n *network) perform(v *vm, actions []share.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case share.Set:
+		case share.ApplyShare:
 			v.share = a.Share
 		case share.SendAck:
-			n.send(v.name, a.To, share.Ack{From: v.name, Message: a.Message}, a.Message)
+			n.send(v.name, a.To, share.AckReceived{From: v.name, Message: a.Message}, a.Message)
 		case share.SendLoan:
-			n.send(v.name, a.To, share.Lent{From: v.name, Message: a.Message}, a.Message)
+			n.send(v.name, a.To, share.LoanReceived{From: v.name, Message: a.Message}, a.Message)
 		}
 	}
 }
@@ -201,9 +201,9 @@
 	}
 	v.inbox = nil
 	if n.now >= v.nextTick {
-		v.nextTick = n.now + timing.Tick()
+		v.nextTick = n.now + timing.TickInterval()
 		n.perform(v, v.state.Step(n.clock(v), share.Tick{Usage: func(share.Kind) share.Usage {
-			u := share.Usage{Rate: v.demand, Concurrency: max(v.peak, v.concurrencyDemand), Running: len(v.running), Ready: true}
+			u := share.Usage{Rate: v.demand, Concurrency: max(v.peak, v.concurrencyDemand), Running: len(v.running), TokenAvailable: true}
 			v.peak = len(v.running)
 			return u
 		}}))
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -59,8 +59,8 @@
 	Lease time.Duration
 }
 
-// Tick is the interval between Tick events.
-func (t Timing) Tick() time.Duration {
+// TickInterval is the interval between Tick events.
+func (t Timing) TickInterval() time.Duration {
 	return t.Lease / 8
 }
 
@@ -169,8 +169,8 @@
 	Amount
 	// Members are the home VMs, in the same order on every VM.
 	Members []string
-	// Hold is the longest time a request runs.
-	Hold time.Duration
+	// MaxDuration is the longest time a request runs.
+	MaxDuration time.Duration
 }
 
 // Usage is the recent demand of a kind.
@@ -183,8 +183,8 @@
 	Concurrency int
 	// Running is the number of requests in progress.
 	Running int
-	// Ready reports whether the rate admits a request now.
-	Ready bool
+	// TokenAvailable reports whether the rate admits a request now.
+	TokenAvailable bool
 }
 
 // Event is an input of a State.
@@ -193,33 +193,33 @@
 // Configured replaces the limits. Kinds that it does not list are dropped.
 type Configured struct{ Limits []Limit }
 
-// Tick reports that time has passed. Usage returns the recent demand of a kind.
+// TickInterval reports that time has passed. Usage returns the recent demand of a kind.
 type Tick struct{ Usage func(Kind) Usage }
 
-// Ack is a request for a loan, or the confirmation of one, from another home
+// AckReceived is a request for a loan, or the confirmation of one, from another home
 // VM.
-type Ack struct {
+type AckReceived struct {
 	From    string
 	Message *pb.ShareAck
 }
 
-// Lent is a loan received from another home VM.
-type Lent struct {
+// LoanReceived is a loan received from another home VM.
+type LoanReceived struct {
 	From    string
 	Message *pb.ShareLoan
 }
 
-func (Configured) event() {}
-func (Tick) event()       {}
-func (Ack) event()        {}
-func (Lent) event()       {}
+func (Configured) event()   {}
+func (Tick) event()         {}
+func (AckReceived) event()  {}
+func (LoanReceived) event() {}
 
 // Action is an output of a State. The caller carries actions out in order: a
 // reduced share takes effect before the loan that uses the difference is sent.
 type Action interface{ action() }
 
-// Set puts a share into effect.
-type Set struct {
+// ApplyShare puts a share into effect.
+type ApplyShare struct {
 	Kind  Kind
 	Share Share
 }
@@ -236,6 +236,6 @@
 	Message *pb.ShareLoan
 }
 
-func (Set) action()      {}
-func (SendAck) action()  {}
-func (SendLoan) action() {}
+func (ApplyShare) action() {}
+func (SendAck) action()    {}
+func (SendLoan) action()   {}
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -207,7 +207,7 @@
 func TestSumHoldsDuringMemberChange(t *testing.T) {
 	for seed := range uint64(20) {
 		before, after := limitOf(120, 60, "a", "b", "c", "d"), limitOf(120, 60, "a", "b", "d")
-		before.Hold, after.Hold = 3*time.Second, 3*time.Second
+		before.MaxDuration, after.MaxDuration = 3*time.Second, 3*time.Second
 		n := newNetwork(t, seed, before)
 		n.run(6 * time.Second)
 		n.vm("a").demand, n.vm("a").concurrencyDemand = 200, 100
@@ -309,13 +309,13 @@
 			s.Step(now, share.Configured{Limits: limits})
 			usage := func(k share.Kind) share.Usage {
 				if k.Name[len(k.Name)-1] == '0' {
-					return share.Usage{Rate: 200, Concurrency: 100, Ready: true}
+					return share.Usage{Rate: 200, Concurrency: 100, TokenAvailable: true}
 				}
-				return share.Usage{Rate: 10, Ready: true}
+				return share.Usage{Rate: 10, TokenAvailable: true}
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				now = now.Add(timing.Tick())
+				now = now.Add(timing.TickInterval())
 				s.Step(now, share.Tick{Usage: usage})
 			}
 		})
--- a/internal/share/state.go
+++ b/internal/share/state.go
@@ -83,16 +83,16 @@
 		s.configure(now, e.Limits)
 	case Tick:
 		s.tick(now, e.Usage)
-	case Ack:
+	case AckReceived:
 		s.handleAck(now, e.From, e.Message)
-	case Lent:
+	case LoanReceived:
 		s.handleLoan(now, e.From, e.Message)
 	}
 	return s.actions
 }
 
-// Settled reports whether every loan of a previous incarnation has expired.
-func (s *State) Settled(now time.Time) bool {
+// FormerLoansExpired reports whether every loan of a previous incarnation has expired.
+func (s *State) FormerLoansExpired(now time.Time) bool {
 	return !now.Before(s.started.Add(s.timing.LenderTerm()))
 }
 
@@ -111,7 +111,7 @@
 	}
 	for kind := range s.entries {
 		if kept[kind] == nil {
-			s.actions = append(s.actions, Set{Kind: kind})
+			s.actions = append(s.actions, ApplyShare{Kind: kind})
 		}
 	}
 	s.entries = kept
@@ -135,7 +135,7 @@
 	if changed {
 		e.membersChangedAt = now
 		e.rateIncreaseAt = now.Add(s.timing.LenderTerm())
-		e.restarting = first && !s.Settled(now)
+		e.restarting = first && !s.FormerLoansExpired(now)
 		if e.restarting {
 			// This is the first list of the process: only loans of a previous
 			// incarnation of this VM can be outstanding, and they expire one
@@ -169,13 +169,13 @@
 // drainTime is how long requests may keep running after their share was
 // withdrawn.
 func (e *entry) drainTime() time.Duration {
-	return e.limit.Hold + time.Duration(2*MaxClockDrift*float64(e.limit.Hold)) + safetyMargin
+	return e.limit.MaxDuration + time.Duration(2*MaxClockDrift*float64(e.limit.MaxDuration)) + safetyMargin
 }
 
 // lendsConcurrency reports whether the kind's requests are short enough to lend
 // concurrency.
 func (e *entry) lendsConcurrency() bool {
-	return e.limit.Hold <= MaxLendableDuration
+	return e.limit.MaxDuration <= MaxLendableDuration
 }
 
 func (e *entry) applyIncreases(now time.Time) {
@@ -285,5 +285,5 @@
 		return
 	}
 	e.published = sh
-	s.actions = append(s.actions, Set{Kind: kind, Share: sh})
+	s.actions = append(s.actions, ApplyShare{Kind: kind, Share: sh})
 }
