--- a/internal/dispatch/ledger.go
+++ b/internal/dispatch/ledger.go
@@ -29,15 +29,15 @@
 	}
 }
 
-// Sighting is what a ledger knows of the id of an arriving sub-request.
-type Sighting int
+// ArrivalStatus is what a ledger knows of the id of an arriving sub-request.
+type ArrivalStatus int
 
 const (
 	// Fresh: the id is new; the sub-request may be dispatched.
-	Fresh Sighting = iota
-	// Open: a sub-request with this id is queued or running and will be
+	Fresh ArrivalStatus = iota
+	// InFlight: a sub-request with this id is queued or running and will be
 	// answered.
-	Open
+	InFlight
 	// Answered: a sub-request with this id has been answered.
 	Answered
 	// Cancelled: the cancellation arrived before the request.
@@ -72,11 +72,11 @@
 
 // Arrive records an arriving sub-request. Only a Fresh one may be dispatched,
 // and its id must be closed later.
-func (l *Ledger) Arrive(now time.Time, key Key, idempotent bool) Sighting {
+func (l *Ledger) Arrive(now time.Time, key Key, idempotent bool) ArrivalStatus {
 	l.expire(now)
 	k := l.senders.compact(key)
 	if _, ok := l.open[k]; ok {
-		return Open
+		return InFlight
 	}
 	if l.idempotent.has(k) || l.nonIdempotent.has(k) {
 		return Answered
--- a/internal/dispatch/ledger_test.go
+++ b/internal/dispatch/ledger_test.go
@@ -20,7 +20,7 @@
 	g := NewWithT(t)
 	l := smallLedger()
 	g.Expect(l.Arrive(at(0), key(1), false)).To(Equal(Fresh))
-	g.Expect(l.Arrive(at(1), key(1), false)).To(Equal(Open))
+	g.Expect(l.Arrive(at(1), key(1), false)).To(Equal(InFlight))
 	l.Close(key(1))
 	g.Expect(l.Arrive(at(2), key(1), false)).To(Equal(Answered))
 	other := key(1)
@@ -56,7 +56,7 @@
 		l.Cancel(at(1), key(id+1000))
 	}
 	g.Expect(l.Len()).To(Equal(3 + 2 + 1))
-	g.Expect(l.Arrive(at(2), key(1), false)).To(Equal(Open))
+	g.Expect(l.Arrive(at(2), key(1), false)).To(Equal(InFlight))
 	g.Expect(l.Arrive(at(2), key(2), false)).To(Equal(Fresh))
 	g.Expect(l.Arrive(at(2), key(3), false)).To(Equal(Full), "refused rather than forgetting")
 	g.Expect(l.Arrive(at(10_000), key(3), false)).To(Equal(Fresh))
--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -77,8 +77,8 @@
 	l.probeSlowdown = 1
 }
 
-// Publish sets the published number of slots.
-func (l *Limiter) Publish(n int) {
+// SetPublished sets the published number of slots.
+func (l *Limiter) SetPublished(n int) {
 	l.published = n
 	l.limit = max(1, min(l.limit, float64(n)))
 }
@@ -92,16 +92,16 @@
 	return min(l.published, max(1, int(l.limit)))
 }
 
-// Shed records that the upstream refused a request because it had no free slot.
-func (l *Limiter) Shed(now time.Time) {
+// RecordShed records that the upstream refused a request because it had no free slot.
+func (l *Limiter) RecordShed(now time.Time) {
 	l.ramping = false
 	l.cut(now, shedCutFactor)
 }
 
-// Success records a reply after d. running is the number of requests that held a
+// RecordSuccess records a reply after d. running is the number of requests that held a
 // slot, including this one. The limit grows only when it is fully used, because
 // otherwise nothing shows that the upstream can take more.
-func (l *Limiter) Success(now time.Time, d time.Duration, running int) {
+func (l *Limiter) RecordSuccess(now time.Time, d time.Duration, running int) {
 	l.observe(d)
 	switch {
 	case l.policy == AIMDLatency && l.recentLatency > inflationRatio*l.baselineLatency:
--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -17,13 +17,13 @@
 		"starts at one":                    {AIMD, func(*Limiter) {}, 1},
 		"ramps with each success":          {AIMD, func(l *Limiter) { succeed(l, 2) }, 3},
 		"never above the published number": {AIMD, func(l *Limiter) { succeed(l, 100) }, 5},
-		"a shed cuts":                      {AIMD, func(l *Limiter) { succeed(l, 4); l.Shed(at(0)) }, 3},
-		"concurrent sheds cut once":        {AIMD, func(l *Limiter) { succeed(l, 4); l.Shed(at(0)); l.Shed(at(1)) }, 3},
+		"a shed cuts":                      {AIMD, func(l *Limiter) { succeed(l, 4); l.RecordShed(at(0)) }, 3},
+		"concurrent sheds cut once":        {AIMD, func(l *Limiter) { succeed(l, 4); l.RecordShed(at(0)); l.RecordShed(at(1)) }, 3},
 		"never below one":                  {AIMD, func(l *Limiter) { shedStorm(l) }, 1},
 		"recovers after a shed":            {AIMD, func(l *Limiter) { shedStorm(l); succeed(l, 250) }, 5},
-		"an unused limit stays":            {AIMD, func(l *Limiter) { l.Success(at(0), service, 0) }, 1},
-		"the published number falls":       {AIMD, func(l *Limiter) { succeed(l, 4); l.Publish(2) }, 2},
-		"nothing published":                {AIMD, func(l *Limiter) { l.Publish(0) }, 0},
+		"an unused limit stays":            {AIMD, func(l *Limiter) { l.RecordSuccess(at(0), service, 0) }, 1},
+		"the published number falls":       {AIMD, func(l *Limiter) { succeed(l, 4); l.SetPublished(2) }, 2},
+		"nothing published":                {AIMD, func(l *Limiter) { l.SetPublished(0) }, 0},
 		"fixed":                            {Fixed, shedStorm, 5},
 		"gradient under inflation":         {Gradient, func(l *Limiter) { succeed(l, 20); inflate(l) }, 2},
 		"latency under inflation":          {AIMDLatency, func(l *Limiter) { succeed(l, 20); inflate(l) }, 1},
@@ -38,18 +38,18 @@
 
 func succeed(l *Limiter, n int) {
 	for range n {
-		l.Success(at(0), 10*time.Millisecond, l.Limit())
+		l.RecordSuccess(at(0), 10*time.Millisecond, l.Limit())
 	}
 }
 
 func shedStorm(l *Limiter) {
 	for i := range 20 {
-		l.Shed(at(i * 100))
+		l.RecordShed(at(i * 100))
 	}
 }
 
 func inflate(l *Limiter) {
 	for i := range 30 {
-		l.Success(at(100*i), 80*time.Millisecond, l.Limit())
+		l.RecordSuccess(at(100*i), 80*time.Millisecond, l.Limit())
 	}
 }
--- a/internal/dispatch/pause.go
+++ b/internal/dispatch/pause.go
@@ -16,26 +16,26 @@
 	Settle time.Duration
 }
 
-// Pause detects that the process did not run for a while because it was stopped,
+// PauseDetector detects that the process did not run for a while because it was stopped,
 // starved of processor time or its VM suspended. Without it, an owner that
 // resumes would dispatch its queued requests before it reads that they were
 // cancelled, that the upstream is leaving or that another VM owns it now, and
 // upstreams would get work that no caller waits for. It is not safe for
 // concurrent use.
-type Pause struct {
+type PauseDetector struct {
 	opts      PauseOptions
 	lastTick  time.Time
 	gap       time.Duration
 	heldUntil time.Time
 }
 
-// NewPause returns a detector. It detects nothing before the first Tick.
-func NewPause(opts PauseOptions) *Pause {
-	return &Pause{opts: opts}
+// NewPauseDetector returns a detector. It detects nothing before the first Tick.
+func NewPauseDetector(opts PauseOptions) *PauseDetector {
+	return &PauseDetector{opts: opts}
 }
 
 // Tick records that the process runs. Call it several times per Gap.
-func (p *Pause) Tick(now time.Time) {
+func (p *PauseDetector) Tick(now time.Time) {
 	p.Check(now)
 	p.lastTick = now
 }
@@ -43,7 +43,7 @@
 // Check reports whether dispatching is suspended at now, and the length of the
 // last pause. A sub-request that arrives while dispatching is suspended may have
 // waited that long in a socket buffer.
-func (p *Pause) Check(now time.Time) (held bool, gap time.Duration) {
+func (p *PauseDetector) Check(now time.Time) (held bool, gap time.Duration) {
 	if !p.lastTick.IsZero() {
 		if away := pause.Gap(p.lastTick, now); away >= p.opts.Gap {
 			p.gap = away
--- a/internal/dispatch/pause_test.go
+++ b/internal/dispatch/pause_test.go
@@ -14,7 +14,7 @@
 // it reads the cancellations that arrived meanwhile.
 func TestPause(t *testing.T) {
 	g := NewWithT(t)
-	p := NewPause(PauseOptions{Gap: time.Second, Settle: 100 * time.Millisecond})
+	p := NewPauseDetector(PauseOptions{Gap: time.Second, Settle: 100 * time.Millisecond})
 	step := func(ms int, tick bool) (bool, time.Duration) {
 		held, gap := p.Check(at(ms))
 		if tick {
--- a/internal/dispatch/sim_test.go
+++ b/internal/dispatch/sim_test.go
@@ -177,7 +177,7 @@
 			s.sheds++
 			s.result[it.Customer].refused++
 			s.queue.Release()
-			s.limiter.Shed(s.clock())
+			s.limiter.RecordShed(s.clock())
 			s.dispatch()
 		})
 		return
@@ -196,7 +196,7 @@
 	}
 	running := s.queue.Running()
 	s.queue.Done(took, false)
-	s.limiter.Success(s.clock(), took, running)
+	s.limiter.RecordSuccess(s.clock(), took, running)
 	s.dispatch()
 }
 
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// Started records that a request is being sent.
-func (m *Monitor) Started() {
+// RequestStarted records that a request is being sent.
+func (m *Monitor) RequestStarted() {
 	m.trialInFlight = m.circuitOpen
 }
 
@@ -199,9 +199,9 @@
 	return max(0, m.retryAt.Sub(now))
 }
 
-// Probed applies the answer to a probe sent at sent; r is nil when there was
+// ProbeFinished applies the answer to a probe sent at sent; r is nil when there was
 // none.
-func (m *Monitor) Probed(now, sent time.Time, r *Report) {
+func (m *Monitor) ProbeFinished(now, sent time.Time, r *Report) {
 	m.probeInFlight = false
 	m.nextProbeAt = now.Add(m.jitter(m.opts.Interval))
 	if r == nil {
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -35,14 +35,14 @@
 }
 
 func probe(ms int, s pb.UpstreamState) event {
-	return func(m *Monitor) { m.Probed(at(ms), at(ms), &Report{State: s}) }
+	return func(m *Monitor) { m.ProbeFinished(at(ms), at(ms), &Report{State: s}) }
 }
 
 func noAnswer(ms int) event {
-	return func(m *Monitor) { m.Probed(at(ms), at(ms), nil) }
+	return func(m *Monitor) { m.ProbeFinished(at(ms), at(ms), nil) }
 }
 
-func started(m *Monitor) { m.Started() }
+func started(m *Monitor) { m.RequestStarted() }
 
 func TestStateAndGate(t *testing.T) {
 	const (
@@ -106,7 +106,7 @@
 	g := NewWithT(t)
 	v := func(n uint64) *pb.Snapshot { return &pb.Snapshot{Generation: 1, Version: n} }
 	m := monitor()
-	m.Probed(at(0), at(0), &Report{State: pb.UpstreamState_READY, Snapshots: []*pb.Snapshot{v(1)}})
+	m.ProbeFinished(at(0), at(0), &Report{State: pb.UpstreamState_READY, Snapshots: []*pb.Snapshot{v(1)}})
 	m.Observe(at(1), Reply{Result: pb.Result_OK, Snapshot: v(2)})
 	m.Observe(at(2), Reply{Result: pb.Result_NO_SNAPSHOT, Snapshot: v(1)})
 	g.Expect(m.Snapshots()).To(HaveLen(1))
@@ -118,7 +118,7 @@
 	m := monitor()
 	g.Expect(m.ProbeDue(at(0))).To(BeTrue())
 	g.Expect(m.ProbeDue(at(1))).To(BeFalse(), "one probe at a time")
-	m.Probed(at(2), at(0), nil)
+	m.ProbeFinished(at(2), at(0), nil)
 	g.Expect(m.ProbeDue(at(2 + 749))).To(BeFalse())
 	g.Expect(m.ProbeDue(at(2 + 1251))).To(BeTrue())
 }
--- a/internal/owner/executor.go
+++ b/internal/owner/executor.go
@@ -62,7 +62,7 @@
 		e.health.SetLeaving(u.Leaving)
 	}
 	e.granted = g
-	e.limiter.Publish(g.Slots)
+	e.limiter.SetPublished(g.Slots)
 	e.client.SetConnections(g.Connections)
 	if g.Role == Main && before.Role != Main {
 		e.limiter.Restart()
@@ -184,7 +184,7 @@
 	e.queue.SetSlots(e.limiter.Limit())
 	it, late := e.queue.Pop(now)
 	if it != nil {
-		e.health.Started()
+		e.health.RequestStarted()
 	}
 	return it, late
 }
@@ -276,14 +276,14 @@
 		e.queue.Release()
 	case out.Result == pb.Result_OK:
 		e.queue.Done(took, false)
-		e.limiter.Success(now, took, running)
+		e.limiter.RecordSuccess(now, took, running)
 	case out.Result == pb.Result_UPSTREAM_ERROR:
 		e.queue.Done(took, out.Cancelled)
 	case out.Result == pb.Result_UNKNOWN:
 		e.queue.Done(took, true)
 	case out.Result == pb.Result_SHED:
 		e.queue.Release()
-		e.limiter.Shed(now)
+		e.limiter.RecordShed(now)
 	default:
 		e.queue.Release()
 	}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -87,7 +87,7 @@
 	allAnswered *sync.Cond
 
 	pauseMu      sync.Mutex
-	pause        *dispatch.Pause
+	pause        *dispatch.PauseDetector
 	wasSuspended bool
 }
 
@@ -103,7 +103,7 @@
 		executors:   map[string]*executor{},
 		retiring:    map[*executor]struct{}{},
 		ledger:      dispatch.NewLedger(opts.Ledger),
-		pause:       dispatch.NewPause(opts.Pause),
+		pause:       dispatch.NewPauseDetector(opts.Pause),
 	}
 	o.allAnswered = sync.NewCond(&o.ledgerMu)
 	return o
@@ -173,7 +173,7 @@
 	now := o.opts.Now()
 	it := &dispatch.Item{Key: key, Customer: req.Customer, Arrived: now, Request: req, Reply: reply}
 	switch o.recordArrival(now, it) {
-	case dispatch.Open:
+	case dispatch.InFlight:
 		o.metrics.duplicates.Inc()
 		return
 	case dispatch.Answered:
@@ -323,7 +323,7 @@
 	}
 }
 
-func (o *Owner) recordArrival(now time.Time, it *dispatch.Item) dispatch.Sighting {
+func (o *Owner) recordArrival(now time.Time, it *dispatch.Item) dispatch.ArrivalStatus {
 	o.ledgerMu.Lock()
 	defer o.ledgerMu.Unlock()
 	return o.ledger.Arrive(now, it.Key, it.Request.Idempotent)
--- a/internal/owner/status.go
+++ b/internal/owner/status.go
@@ -52,12 +52,12 @@
 // the probe failed. The caller holds mu.
 func (e *executor) recordProbe(now, sent time.Time, answer *upstream.Health) {
 	if answer == nil {
-		e.health.Probed(now, sent, nil)
+		e.health.ProbeFinished(now, sent, nil)
 		return
 	}
 	before := e.health.State()
 	state, snapshots := answer.Report()
-	e.health.Probed(now, sent, &health.Report{State: state, Snapshots: snapshots})
+	e.health.ProbeFinished(now, sent, &health.Report{State: state, Snapshots: snapshots})
 	if e.health.State() == pb.UpstreamState_COLD && before != pb.UpstreamState_COLD {
 		e.limiter.Restart()
 	}
--- a/internal/readiness/readiness.go
+++ b/internal/readiness/readiness.go
@@ -41,15 +41,15 @@
 // maxObservations bounds the snapshots remembered from replies.
 const maxObservations = 8
 
-// Key identifies a snapshot. It is comparable.
-type Key struct {
+// SnapshotKey identifies a snapshot. It is comparable.
+type SnapshotKey struct {
 	Generation uint32
 	Version    uint64
 }
 
-// KeyOf returns the key of a snapshot message.
-func KeyOf(s *pb.Snapshot) Key {
-	return Key{Generation: s.GetGeneration(), Version: s.GetVersion()}
+// SnapshotKeyOf returns the key of a snapshot message.
+func SnapshotKeyOf(s *pb.Snapshot) SnapshotKey {
+	return SnapshotKey{Generation: s.GetGeneration(), Version: s.GetVersion()}
 }
 
 // Fitness ranks upstreams as candidates for a sub-request; higher is better.
@@ -71,27 +71,27 @@
 type State struct {
 	state        pb.UpstreamState
 	stateUntil   time.Time
-	listed       []Key
+	listed       []SnapshotKey
 	listUntil    time.Time
 	observations []observation
 }
 
 // observation is what a reply showed about one snapshot.
 type observation struct {
-	key   Key
+	key   SnapshotKey
 	has   bool
 	until time.Time
 	ttl   time.Duration
 }
 
-// Status applies an owner's status. A status without snapshots carries no
+// ApplyStatus applies an owner's status. A status without snapshots carries no
 // information about them.
-func (s *State) Status(now time.Time, st *pb.UpstreamStatus) {
+func (s *State) ApplyStatus(now time.Time, st *pb.UpstreamStatus) {
 	s.state = st.State
 	s.stateUntil = now.Add(statusTTL)
 	s.listed = s.listed[:0]
 	for _, snap := range st.Snapshots {
-		s.listed = append(s.listed, KeyOf(snap))
+		s.listed = append(s.listed, SnapshotKeyOf(snap))
 	}
 	s.listUntil = now.Add(statusTTL)
 	s.observations = slices.DeleteFunc(s.observations, func(o observation) bool {
@@ -99,12 +99,12 @@
 	})
 }
 
-// Reply applies the outcome of a sub-request for the snapshot asked. changed
+// ApplyReply applies the outcome of a sub-request for the snapshot asked. changed
 // reports whether the upstream's fitness may have changed.
-func (s *State) Reply(now time.Time, asked Key, r *pb.SubReply) (changed bool) {
+func (s *State) ApplyReply(now time.Time, asked SnapshotKey, r *pb.SubReply) (changed bool) {
 	switch r.Result {
 	case pb.Result_OK:
-		return s.recordAnswer(now, KeyOf(r.Snapshot), asked)
+		return s.recordAnswer(now, SnapshotKeyOf(r.Snapshot), asked)
 	case pb.Result_NO_SNAPSHOT:
 		s.renewList(now, !slices.Contains(s.listed, asked))
 		return s.recordSnapshot(now, asked, false)
@@ -127,7 +127,7 @@
 
 // recordAnswer applies a successful reply. It does not end draining, because a
 // draining upstream may still answer.
-func (s *State) recordAnswer(now time.Time, got, asked Key) bool {
+func (s *State) recordAnswer(now time.Time, got, asked SnapshotKey) bool {
 	if got != asked {
 		s.recordSnapshot(now, got, true)
 		return s.recordSnapshot(now, asked, false)
@@ -153,7 +153,7 @@
 
 // recordSnapshot records that the upstream has or lacks a snapshot, and reports
 // whether that is new information.
-func (s *State) recordSnapshot(now time.Time, key Key, has bool) bool {
+func (s *State) recordSnapshot(now time.Time, key SnapshotKey, has bool) bool {
 	before := s.hasSnapshot(now, key)
 	ttl := snapshotTTL
 	s.observations = slices.DeleteFunc(s.observations, func(o observation) bool {
@@ -170,7 +170,7 @@
 }
 
 // Fitness returns the upstream's fitness to answer from a snapshot.
-func (s *State) Fitness(now time.Time, key Key) Fitness {
+func (s *State) Fitness(now time.Time, key SnapshotKey) Fitness {
 	state := s.currentState(now)
 	if state == pb.UpstreamState_DRAINING || !s.hasSnapshot(now, key) {
 		return Unfit
@@ -193,7 +193,7 @@
 }
 
 // hasSnapshot prefers replies over the owner's list, which may lag.
-func (s *State) hasSnapshot(now time.Time, key Key) bool {
+func (s *State) hasSnapshot(now time.Time, key SnapshotKey) bool {
 	for i := range s.observations {
 		if o := &s.observations[i]; o.key == key && now.Before(o.until) {
 			return o.has
@@ -209,15 +209,15 @@
 type Choice struct {
 	Map      *contract.ShardMap
 	Snapshot *pb.Snapshot
-	// Whole reports whether every shard has a fit replica.
-	Whole bool
+	// Complete reports whether every shard has a fit replica.
+	Complete bool
 }
 
 // Choose returns the newest published snapshot for which every shard has a
 // replica that serves it, or else the one with the highest coverage. Replicas
 // that are down count only if no other replica serves any snapshot. ok is false
 // when no replica of any shard serves any snapshot.
-func Choose(s *contract.Service, fitness func(*contract.Upstream, Key) Fitness) (c Choice, ok bool) {
+func Choose(s *contract.Service, fitness func(*contract.Upstream, SnapshotKey) Fitness) (c Choice, ok bool) {
 	for _, minFitness := range []Fitness{Cold, Down} {
 		if c, ok = chooseAtLeast(s, minFitness, fitness); ok {
 			return c, true
@@ -227,19 +227,19 @@
 }
 
 // chooseAtLeast is Choose with replicas of at least minFitness.
-func chooseAtLeast(s *contract.Service, minFitness Fitness, fitness func(*contract.Upstream, Key) Fitness) (best Choice, ok bool) {
+func chooseAtLeast(s *contract.Service, minFitness Fitness, fitness func(*contract.Upstream, SnapshotKey) Fitness) (best Choice, ok bool) {
 	bestCoverage := 0.0
 	for i := len(s.Maps) - 1; i >= 0; i-- {
 		m := s.Maps[i]
 		for j := len(m.Versions) - 1; j >= 0; j-- {
-			key := Key{Generation: m.Generation, Version: m.Versions[j]}
+			key := SnapshotKey{Generation: m.Generation, Version: m.Versions[j]}
 			fraction := coverage(m, key, minFitness, fitness)
 			if fraction <= bestCoverage {
 				continue
 			}
 			bestCoverage = fraction
-			best = Choice{Map: m, Snapshot: &pb.Snapshot{Generation: key.Generation, Version: key.Version}, Whole: fraction == 1}
-			if best.Whole {
+			best = Choice{Map: m, Snapshot: &pb.Snapshot{Generation: key.Generation, Version: key.Version}, Complete: fraction == 1}
+			if best.Complete {
 				return best, true
 			}
 		}
@@ -250,7 +250,7 @@
 // coverage returns the fraction of the documents whose shard has a fit replica.
 // It is 1 only if no shard is missing, and above 0 if any shard is present, so
 // that a map without documents can be pinned.
-func coverage(m *contract.ShardMap, key Key, minFitness Fitness, fitness func(*contract.Upstream, Key) Fitness) float64 {
+func coverage(m *contract.ShardMap, key SnapshotKey, minFitness Fitness, fitness func(*contract.Upstream, SnapshotKey) Fitness) float64 {
 	shards, documents := 0, uint64(0)
 	for _, sh := range m.Shards {
 		if hasFitReplica(sh, key, minFitness, fitness) {
@@ -276,7 +276,7 @@
 
 // hasFitReplica reports whether any replica that is not leaving has at least
 // minFitness.
-func hasFitReplica(sh *contract.Shard, key Key, minFitness Fitness, fitness func(*contract.Upstream, Key) Fitness) bool {
+func hasFitReplica(sh *contract.Shard, key SnapshotKey, minFitness Fitness, fitness func(*contract.Upstream, SnapshotKey) Fitness) bool {
 	for _, u := range sh.Replicas {
 		if !u.Leaving && fitness(u, key) >= minFitness {
 			return true
--- a/internal/readiness/readiness_test.go
+++ b/internal/readiness/readiness_test.go
@@ -10,27 +10,27 @@
 
 var (
 	start = time.Unix(1000, 0)
-	v7    = Key{Generation: 1, Version: 7}
-	v8    = Key{Generation: 1, Version: 8}
+	v7    = SnapshotKey{Generation: 1, Version: 7}
+	v8    = SnapshotKey{Generation: 1, Version: 8}
 )
 
-func snapshot(k Key) *pb.Snapshot {
+func snapshot(k SnapshotKey) *pb.Snapshot {
 	return &pb.Snapshot{Generation: k.Generation, Version: k.Version}
 }
 
 func TestFitness(t *testing.T) {
-	status := func(st pb.UpstreamState, keys ...Key) func(*State, time.Time) {
+	status := func(st pb.UpstreamState, keys ...SnapshotKey) func(*State, time.Time) {
 		return func(s *State, now time.Time) {
 			msg := &pb.UpstreamStatus{State: st}
 			for _, k := range keys {
 				msg.Snapshots = append(msg.Snapshots, snapshot(k))
 			}
-			s.Status(now, msg)
+			s.ApplyStatus(now, msg)
 		}
 	}
-	reply := func(asked Key, r pb.Result, got Key) func(*State, time.Time) {
+	reply := func(asked SnapshotKey, r pb.Result, got SnapshotKey) func(*State, time.Time) {
 		return func(s *State, now time.Time) {
-			s.Reply(now, asked, &pb.SubReply{Result: r, Snapshot: snapshot(got)})
+			s.ApplyReply(now, asked, &pb.SubReply{Result: r, Snapshot: snapshot(got)})
 		}
 	}
 	for _, c := range []struct {
@@ -49,16 +49,16 @@
 		{name: "down", events: []func(*State, time.Time){status(pb.UpstreamState_DOWN)}, want: Down},
 		{name: "down, then answers", events: []func(*State, time.Time){status(pb.UpstreamState_DOWN), reply(v8, pb.Result_OK, v8)}, want: Ready},
 		{name: "a status expires", events: []func(*State, time.Time){status(pb.UpstreamState_DRAINING)}, after: statusTTL, want: Ready},
-		{name: "refused for the snapshot", events: []func(*State, time.Time){reply(v8, pb.Result_NO_SNAPSHOT, Key{})}, want: Unfit},
-		{name: "refused for another snapshot", events: []func(*State, time.Time){reply(v7, pb.Result_NO_SNAPSHOT, Key{})}, want: Ready},
-		{name: "a refusal expires", events: []func(*State, time.Time){reply(v8, pb.Result_NO_SNAPSHOT, Key{})}, after: snapshotTTL, want: Ready},
-		{name: "a refusal overrides the lagging list", events: []func(*State, time.Time){reply(v8, pb.Result_NO_SNAPSHOT, Key{}), status(pb.UpstreamState_READY, v8)}, want: Unfit},
+		{name: "refused for the snapshot", events: []func(*State, time.Time){reply(v8, pb.Result_NO_SNAPSHOT, SnapshotKey{})}, want: Unfit},
+		{name: "refused for another snapshot", events: []func(*State, time.Time){reply(v7, pb.Result_NO_SNAPSHOT, SnapshotKey{})}, want: Ready},
+		{name: "a refusal expires", events: []func(*State, time.Time){reply(v8, pb.Result_NO_SNAPSHOT, SnapshotKey{})}, after: snapshotTTL, want: Ready},
+		{name: "a refusal overrides the lagging list", events: []func(*State, time.Time){reply(v8, pb.Result_NO_SNAPSHOT, SnapshotKey{}), status(pb.UpstreamState_READY, v8)}, want: Unfit},
 		{name: "an answer overrides the lagging list", events: []func(*State, time.Time){status(pb.UpstreamState_READY, v7), reply(v8, pb.Result_OK, v8)}, want: Ready},
 		{name: "answered from another one", events: []func(*State, time.Time){reply(v8, pb.Result_OK, v7)}, want: Unfit},
-		{name: "announced that it is leaving", events: []func(*State, time.Time){reply(v8, pb.Result_UPSTREAM_LEAVING, Key{})}, want: Unfit},
-		{name: "unreachable", events: []func(*State, time.Time){reply(v8, pb.Result_UNREACHABLE, Key{})}, want: Down},
-		{name: "a lost connection does not end leaving", events: []func(*State, time.Time){reply(v8, pb.Result_UPSTREAM_LEAVING, Key{}), reply(v8, pb.Result_UNREACHABLE, Key{})}, after: time.Second, want: Unfit},
-		{name: "a shed changes nothing", events: []func(*State, time.Time){reply(v8, pb.Result_SHED, Key{})}, want: Ready},
+		{name: "announced that it is leaving", events: []func(*State, time.Time){reply(v8, pb.Result_UPSTREAM_LEAVING, SnapshotKey{})}, want: Unfit},
+		{name: "unreachable", events: []func(*State, time.Time){reply(v8, pb.Result_UNREACHABLE, SnapshotKey{})}, want: Down},
+		{name: "a lost connection does not end leaving", events: []func(*State, time.Time){reply(v8, pb.Result_UPSTREAM_LEAVING, SnapshotKey{}), reply(v8, pb.Result_UNREACHABLE, SnapshotKey{})}, after: time.Second, want: Unfit},
+		{name: "a shed changes nothing", events: []func(*State, time.Time){reply(v8, pb.Result_SHED, SnapshotKey{})}, want: Ready},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var s State
@@ -86,12 +86,12 @@
 				asked, r = v8, pb.Result_NO_SNAPSHOT
 				n++
 			}
-			s.Reply(now, asked, &pb.SubReply{Result: r, Snapshot: snapshot(asked)})
+			s.ApplyReply(now, asked, &pb.SubReply{Result: r, Snapshot: snapshot(asked)})
 		}
 		return n
 	}
 	var withList State
-	withList.Status(start, &pb.UpstreamStatus{State: pb.UpstreamState_READY, Snapshots: []*pb.Snapshot{snapshot(v7)}})
+	withList.ApplyStatus(start, &pb.UpstreamStatus{State: pb.UpstreamState_READY, Snapshots: []*pb.Snapshot{snapshot(v7)}})
 	if n := refusals(&withList, time.Second, 10*time.Minute); n != 0 {
 		t.Errorf("an upstream whose list is confirmed was asked %d times for what it lacks", n)
 	}
@@ -103,9 +103,9 @@
 
 func TestNewStatusOverridesOldRefusal(t *testing.T) {
 	var s State
-	s.Reply(start, v8, &pb.SubReply{Result: pb.Result_NO_SNAPSHOT})
+	s.ApplyReply(start, v8, &pb.SubReply{Result: pb.Result_NO_SNAPSHOT})
 	later := start.Add(statusOverrideAge)
-	s.Status(later, &pb.UpstreamStatus{State: pb.UpstreamState_READY, Snapshots: []*pb.Snapshot{snapshot(v7), snapshot(v8)}})
+	s.ApplyStatus(later, &pb.UpstreamStatus{State: pb.UpstreamState_READY, Snapshots: []*pb.Snapshot{snapshot(v7), snapshot(v8)}})
 	if f := s.Fitness(later, v8); f != Ready {
 		t.Errorf("fitness %d after the owner said that the snapshot was loaded", f)
 	}
@@ -114,7 +114,7 @@
 func TestObservationsAreBounded(t *testing.T) {
 	var s State
 	for v := range uint64(100) {
-		s.Reply(start, Key{Version: v}, &pb.SubReply{Result: pb.Result_NO_SNAPSHOT})
+		s.ApplyReply(start, SnapshotKey{Version: v}, &pb.SubReply{Result: pb.Result_NO_SNAPSHOT})
 	}
 	if len(s.observations) > maxObservations {
 		t.Errorf("%d observations are kept", len(s.observations))
@@ -135,16 +135,16 @@
 		Shards: []*contract.Shard{shard(0, 60, a, b), shard(1, 40, b, c, gone)}}
 	two := &contract.ShardMap{Generation: 2, Versions: []uint64{8}, Documents: 100,
 		Shards: []*contract.Shard{shard(0, 100, c)}}
-	g2 := Key{Generation: 2, Version: 8}
+	g2 := SnapshotKey{Generation: 2, Version: 8}
 	type lack struct {
 		id  string
-		key Key
+		key SnapshotKey
 	}
 	for _, tc := range []struct {
 		name  string
 		maps  []*contract.ShardMap
 		lacks map[lack]Fitness
-		want  Key
+		want  SnapshotKey
 		whole bool
 		none  bool
 	}{
@@ -161,7 +161,7 @@
 		{name: "no map", none: true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			choice, ok := Choose(&contract.Service{Maps: tc.maps}, func(u *contract.Upstream, k Key) Fitness {
+			choice, ok := Choose(&contract.Service{Maps: tc.maps}, func(u *contract.Upstream, k SnapshotKey) Fitness {
 				if f, ok := tc.lacks[lack{u.ID, k}]; ok {
 					return f
 				}
@@ -170,8 +170,8 @@
 			if ok == tc.none {
 				t.Fatalf("ok is %v", ok)
 			}
-			if ok && (KeyOf(choice.Snapshot) != tc.want || choice.Whole != tc.whole) {
-				t.Errorf("pinned %v, whole %v; want %v, %v", choice.Snapshot, choice.Whole, tc.want, tc.whole)
+			if ok && (SnapshotKeyOf(choice.Snapshot) != tc.want || choice.Complete != tc.whole) {
+				t.Errorf("pinned %v, whole %v; want %v, %v", choice.Snapshot, choice.Complete, tc.want, tc.whole)
 			}
 		})
 	}
--- a/internal/router/pin.go
+++ b/internal/router/pin.go
@@ -40,7 +40,7 @@
 // retired one. The last result is false when there is none.
 func (r *Router) Repin(now time.Time, s *contract.Service, retired *pb.Snapshot) (*contract.ShardMap, *pb.Snapshot, bool) {
 	c, ok := r.snapshotChoice(now, s)
-	if !ok || !c.Whole || readiness.KeyOf(c.Snapshot) == readiness.KeyOf(retired) {
+	if !ok || !c.Complete || readiness.SnapshotKeyOf(c.Snapshot) == readiness.SnapshotKeyOf(retired) {
 		return nil, nil, false
 	}
 	return c.Map, c.Snapshot, true
@@ -57,7 +57,7 @@
 		return c.choice, c.ok
 	}
 	c := &cachedChoice{service: s, changes: changes, until: now.Add(pinTTL)}
-	c.choice, c.ok = readiness.Choose(s, func(u *contract.Upstream, k readiness.Key) readiness.Fitness {
+	c.choice, c.ok = readiness.Choose(s, func(u *contract.Upstream, k readiness.SnapshotKey) readiness.Fitness {
 		st := r.upstream(u.ID)
 		st.mu.Lock()
 		defer st.mu.Unlock()
@@ -79,7 +79,7 @@
 func (r *Router) Status(now time.Time, status *pb.UpstreamStatus) {
 	st := r.upstream(status.Upstream)
 	st.mu.Lock()
-	st.ready.Status(now, status)
+	st.ready.ApplyStatus(now, status)
 	st.mu.Unlock()
 	r.changes.Add(1)
 }
--- a/internal/router/replica.go
+++ b/internal/router/replica.go
@@ -181,7 +181,7 @@
 // candidates appends to list the replicas that may serve w. Replicas that are down
 // are included only if all usable ones are down.
 func (r *Router) candidates(now time.Time, w query.ReplicaRequest, list []candidate) []candidate {
-	key := readiness.KeyOf(w.Snapshot)
+	key := readiness.SnapshotKeyOf(w.Snapshot)
 	best := readiness.Down
 	for i, u := range w.Shard.Replicas[:min(len(w.Shard.Replicas), maxReplicas)] {
 		if u.Leaving || w.Tried&(1<<i) != 0 {
@@ -200,7 +200,7 @@
 	return list
 }
 
-func (s *upstreamState) candidate(now time.Time, index int, key readiness.Key) (candidate, readiness.Fitness) {
+func (s *upstreamState) candidate(now time.Time, index int, key readiness.SnapshotKey) (candidate, readiness.Fitness) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := candidate{index: index, open: s.open, sent: s.sent, known: s.latencies.Mean() > 0}
@@ -327,7 +327,7 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.open = max(0, st.open-1)
-	if o.Reply != nil && st.ready.Reply(now, readiness.KeyOf(o.Snapshot), o.Reply) {
+	if o.Reply != nil && st.ready.ApplyReply(now, readiness.SnapshotKeyOf(o.Snapshot), o.Reply) {
 		r.changes.Add(1)
 	}
 	switch {
