--- a/internal/follow/pull.go
+++ b/internal/follow/pull.go
@@ -65,7 +65,7 @@
 // handleClaim applies a confirmation of the current position, or updates the lead by a claim
 // above it. A closer peer that is ahead replaces a more distant one.
 func (f *Follower) handleClaim(now time.Time, peer Peer, at catalog.Position, confirmed time.Time) {
-	distance := f.opts.Place.Within(peer.Region, peer.DataCentre)
+	distance := f.opts.Place.KnownDistanceTo(peer.Region, peer.DataCentre)
 	if at == f.state.Position() {
 		f.handleConfirmation(now, distance, confirmed)
 		return
--- a/internal/gossip/fuzz_test.go
+++ b/internal/gossip/fuzz_test.go
@@ -41,7 +41,7 @@
 		}
 		n := membership.New(now, membership.Options{Self: &pb.MemberUpdate{Vm: "vm-a", Incarnation: 7, PeerAddress: "10.0.0.1:7100"}})
 		sends := n.Receive(now, d).Sends
-		sends = append(sends, n.Outdated(now, d.Sender).Sends...)
+		sends = append(sends, n.ReplyToOutdated(now, d.Sender).Sends...)
 		for range 20 {
 			now = now.Add(200 * time.Millisecond)
 			sends = append(sends, n.Tick(now).Sends...)
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -107,7 +107,7 @@
 		node:           membership.New(opts.Now(), opts.Node),
 		replays:        NewReplayFilter(),
 		period:         cmp.Or(opts.Node.Timing.Period, membership.DefaultPeriod),
-		pauseThreshold: cmp.Or(opts.Node.Timing.Pause, membership.DefaultPause),
+		pauseThreshold: cmp.Or(opts.Node.Timing.PauseThreshold, membership.DefaultPauseThreshold),
 	}
 	registerStats(opts.Registry, func() membership.Stats {
 		d.mu.Lock()
@@ -187,7 +187,7 @@
 }
 
 // Broadcast sends quarantine entries to at most the given number of members;
-// membership.All means every member.
+// membership.AllMembers means every member.
 func (d *Driver) Broadcast(entries []*pb.QuarantineEntry, most int) {
 	d.step(func(now time.Time) membership.Actions { return d.node.Broadcast(now, entries, most) })
 }
@@ -210,7 +210,7 @@
 func (d *Driver) MergeUpdates(updates []*pb.MemberUpdate) {
 	good, dropped := filterUpdates(d.opts.Node.Self, updates)
 	d.reportDropped(dropped)
-	d.step(func(now time.Time) membership.Actions { return d.node.Learn(now, good) })
+	d.step(func(now time.Time) membership.Actions { return d.node.MergeUpdates(now, good) })
 }
 
 // Leave announces a planned stop.
@@ -236,7 +236,7 @@
 // stores.
 func (d *Driver) advance(now time.Time) membership.Actions {
 	act := d.node.Tick(now)
-	d.inDoubt.Store(d.node.InDoubt())
+	d.inDoubt.Store(d.node.Revalidating())
 	d.lastTick.Store(&now)
 	return act
 }
@@ -275,7 +275,7 @@
 			accepted = true
 			return d.node.Receive(now, m)
 		case Outdated:
-			return d.node.Outdated(now, m.Sender)
+			return d.node.ReplyToOutdated(now, m.Sender)
 		default:
 			return membership.Actions{}
 		}
@@ -315,7 +315,7 @@
 		call.View(view)
 	}
 	if act.Revalidated {
-		call.Revalidated(act.Alone)
+		call.Revalidated(act.NoPeerAnswered)
 	}
 	if act.Superseded != 0 {
 		call.Superseded(act.Superseded)
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -66,7 +66,7 @@
 		Node: membership.Options{
 			Self:   &pb.MemberUpdate{Vm: vm, Incarnation: incarnation, PeerAddress: conn.LocalAddr().String()},
 			Seeds:  seeds,
-			Timing: membership.Timing{Period: 50 * time.Millisecond, DirectTimeout: 20 * time.Millisecond, AskAgain: 300 * time.Millisecond},
+			Timing: membership.Timing{Period: 50 * time.Millisecond, DirectTimeout: 20 * time.Millisecond, RevalidationRetry: 300 * time.Millisecond},
 		},
 		Callbacks: gossip.Callbacks{
 			View:        func(*membership.View) {},
--- a/internal/locality/locality.go
+++ b/internal/locality/locality.go
@@ -38,14 +38,16 @@
 	if dataCentre == p.DataCentre {
 		return Near
 	}
-	return p.Within(p.Regions[dataCentre], dataCentre)
+	return p.KnownDistanceTo(p.Regions[dataCentre], dataCentre)
 }
 
-// Within returns the distance of a data centre in a region. An unknown location counts as Far.
-func (p Place) Within(region, dataCentre string) Distance { return min(p.To(region, dataCentre), Far) }
+// KnownDistanceTo returns the distance of a data centre in a region. An unknown location counts as Far.
+func (p Place) KnownDistanceTo(region, dataCentre string) Distance {
+	return min(p.DistanceTo(region, dataCentre), Far)
+}
 
-// To returns the distance of a data centre in a region, or Unknown if both names are empty.
-func (p Place) To(region, dataCentre string) Distance {
+// DistanceTo returns the distance of a data centre in a region, or Unknown if both names are empty.
+func (p Place) DistanceTo(region, dataCentre string) Distance {
 	switch {
 	case region == "" && dataCentre == "":
 		return Unknown
--- a/internal/locality/locality_test.go
+++ b/internal/locality/locality_test.go
@@ -9,10 +9,10 @@
 			t.Errorf("%s is %v, want %v", dataCentre, got, want)
 		}
 	}
-	if got := p.To("", ""); got != Unknown {
+	if got := p.DistanceTo("", ""); got != Unknown {
 		t.Errorf("an unknown location is %v", got)
 	}
-	if got := p.To("s", "c"); got != Far {
+	if got := p.DistanceTo("s", "c"); got != Far {
 		t.Errorf("a VM of another region is %v", got)
 	}
 }
--- a/internal/membership/directory_test.go
+++ b/internal/membership/directory_test.go
@@ -51,7 +51,7 @@
 			Region: fmt.Sprint("region-", i%directoryCentres/2), DataCentre: fmt.Sprint("dc-", i%directoryCentres),
 			CallerAddress: callerAddress(i), PeerAddress: address(i),
 		},
-		Seeds: []string{address(0), address(1), address(2)}, Sole: true, KeepNear: true, Seed: d.rand.Uint64(), Timing: directoryTiming,
+		Seeds: []string{address(0), address(1), address(2)}, SoleProcess: true, PreferLocal: true, Seed: d.rand.Uint64(), Timing: directoryTiming,
 	})
 	d.inTouch[p.name] = d.now
 	delete(d.gone, callerAddress(i))
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -207,8 +207,8 @@
 			w.processes[0].paused = false
 			dead := w.processes[0].node.Stats().Deaths
 			w.run(tick)
-			Expect(w.processes[0].node.InDoubt()).To(Equal(len(events) > 0))
-			w.runUntil(limit, func() bool { return !w.processes[0].node.InDoubt() })
+			Expect(w.processes[0].node.Revalidating()).To(Equal(len(events) > 0))
+			w.runUntil(limit, func() bool { return !w.processes[0].node.Revalidating() })
 			Expect(w.processes[0].events).To(Equal(events))
 			Expect(w.processes[0].alone).To(Equal(alone))
 			if alone {
@@ -265,7 +265,7 @@
 		w.processes[0].paused = false
 		took, ok := w.runUntil(limit, func() bool { return len(w.processes[0].events) == 2 })
 		Expect(ok).To(BeTrue())
-		Expect(took).To(BeNumerically(">=", 3*membership.DefaultAskAgain))
+		Expect(took).To(BeNumerically(">=", 3*membership.DefaultRevalidationRetry))
 		Expect(w.processes[0].alone).To(BeFalse())
 	})
 })
--- a/internal/membership/near.go
+++ b/internal/membership/near.go
@@ -42,7 +42,7 @@
 // shouldPreferLocal reports whether this node knows enough members of its data centre
 // to prefer them.
 func (n *Node) shouldPreferLocal() bool {
-	if !n.opts.KeepNear {
+	if !n.opts.PreferLocal {
 		return false
 	}
 	neighbours := 0
--- a/internal/membership/near_test.go
+++ b/internal/membership/near_test.go
@@ -27,10 +27,10 @@
 	return w.addWith(membership.Options{
 		Self: &pb.MemberUpdate{Vm: vmName(i), Incarnation: uint64(w.now.UnixMicro()) + uint64(i), Region: regionOf(i), DataCentre: centre(i),
 			CallerAddress: address(i), PeerAddress: address(i)},
-		Seeds:    []string{address(0), address(2), address(4)},
-		Seed:     w.rand.Uint64(),
-		KeepNear: preferLocal,
-		Timing:   edgeTiming,
+		Seeds:       []string{address(0), address(2), address(4)},
+		Seed:        w.rand.Uint64(),
+		PreferLocal: preferLocal,
+		Timing:      edgeTiming,
 	})
 }
 
@@ -134,9 +134,9 @@
 		joiner := w.addWith(membership.Options{
 			Self: &pb.MemberUpdate{Vm: vmName(count), Incarnation: uint64(w.now.UnixMicro()), Region: regionOf(count), DataCentre: centre(count),
 				CallerAddress: address(count), PeerAddress: address(count)},
-			Seed: 1, KeepNear: true, Timing: edgeTiming,
+			Seed: 1, PreferLocal: true, Timing: edgeTiming,
 		})
-		w.do(joiner, func(n *membership.Node) membership.Actions { return n.Learn(w.now, list) })
+		w.do(joiner, func(n *membership.Node) membership.Actions { return n.MergeUpdates(w.now, list) })
 		Expect(joiner.node.View().Serving()).To(HaveLen(count + 1))
 		passed := 0
 		for range 5 {
--- a/internal/membership/network_test.go
+++ b/internal/membership/network_test.go
@@ -96,8 +96,8 @@
 	return w.addWith(membership.Options{
 		Self: &pb.MemberUpdate{Vm: vmName(i), Incarnation: uint64(w.now.Add(-by).UnixMicro()), Region: "north", DataCentre: "north-1",
 			CallerAddress: "10.0.0.1:7000", PeerAddress: address(i)},
-		Sole: sole,
-		Seed: w.rand.Uint64(),
+		SoleProcess: sole,
+		Seed:        w.rand.Uint64(),
 	})
 }
 
@@ -124,7 +124,7 @@
 	}
 	if act.Revalidated {
 		p.events = append(p.events, "revalidated")
-		p.alone = act.Alone
+		p.alone = act.NoPeerAnswered
 	}
 	if act.Superseded != 0 {
 		p.events = append(p.events, "superseded")
@@ -200,7 +200,7 @@
 		w.do(p, func(n *membership.Node) membership.Actions {
 			// The driver passes datagrams of replaced processes to Outdated.
 			if n.Rank(d.Sender.Vm).Incarnation > d.Sender.Incarnation {
-				return n.Outdated(w.now, copied.Sender)
+				return n.ReplyToOutdated(w.now, copied.Sender)
 			}
 			return n.Receive(w.now, copied)
 		})
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -24,15 +24,15 @@
 
 // Default values of Timing.
 const (
-	DefaultPeriod          = time.Second
-	DefaultDirectTimeout   = 300 * time.Millisecond
-	DefaultSuspicionFactor = 4
-	DefaultIndirect        = 3
-	DefaultTombstone       = 2 * time.Hour
-	DefaultJoinGrace       = 2 * time.Minute
-	DefaultPause           = 2 * time.Second
-	DefaultAskAgain        = time.Second
-	DefaultUpdateRate      = 1500
+	DefaultPeriod            = time.Second
+	DefaultDirectTimeout     = 300 * time.Millisecond
+	DefaultSuspicionFactor   = 4
+	DefaultIndirect          = 3
+	DefaultTombstone         = 2 * time.Hour
+	DefaultJoinGrace         = 2 * time.Minute
+	DefaultPauseThreshold    = 2 * time.Second
+	DefaultRevalidationRetry = time.Second
+	DefaultUpdateRate        = 1500
 )
 
 // Timing holds the protocol's intervals and counts. Zero fields take the defaults.
@@ -52,12 +52,12 @@
 	Tombstone time.Duration
 	// JoinGrace is how long the platform's list may take to include a new VM.
 	JoinGrace time.Duration
-	// Pause is the gap between two ticks from which the node counts as paused and
+	// PauseThreshold is the gap between two ticks from which the node counts as paused and
 	// must revalidate its view.
-	Pause time.Duration
-	// AskAgain is how long a revalidating node waits for answers before it sends
+	PauseThreshold time.Duration
+	// RevalidationRetry is how long a revalidating node waits for answers before it sends
 	// more probes. After three rounds it continues with the answers it has.
-	AskAgain time.Duration
+	RevalidationRetry time.Duration
 	// UpdateRate limits the bytes per second spent on updates.
 	UpdateRate float64
 }
@@ -69,13 +69,13 @@
 	// Seeds are peer addresses to probe in addition to the known members, so that a
 	// node with no contacts can join.
 	Seeds []string
-	// Sole asserts that no other process can have this VM's name. A higher
+	// SoleProcess asserts that no other process can have this VM's name. A higher
 	// incarnation of the same name then comes from a predecessor whose clock was
 	// ahead: this process takes a still higher incarnation instead of stopping.
-	Sole bool
-	// KeepNear makes a node with enough members in its own data centre send most
+	SoleProcess bool
+	// PreferLocal makes a node with enough members in its own data centre send most
 	// probes and updates to them.
-	KeepNear bool
+	PreferLocal bool
 	// Seed seeds the node's random choices, so that they are repeatable.
 	Seed   uint64
 	Timing Timing
@@ -101,8 +101,8 @@
 	Revalidate bool
 	// Revalidated reports the end of the revalidation; Alone reports that no member
 	// answered during it.
-	Revalidated bool
-	Alone       bool
+	Revalidated    bool
+	NoPeerAnswered bool
 	// Superseded is the incarnation of a newer process with this node's name, or 0.
 	// If it is set, this process must stop serving.
 	Superseded uint64
@@ -185,7 +185,7 @@
 	// the same time.
 	n.nextProbe = now.Add(time.Duration(n.rand.Int64N(int64(n.timing.Period))))
 	n.sinceReconnect = n.rand.IntN(reconnectInterval)
-	if opts.KeepNear {
+	if opts.PreferLocal {
 		n.untilRemoteProbe = n.rand.IntN(remoteProbeInterval)
 	}
 	n.view = n.buildView()
@@ -199,8 +199,8 @@
 	setDefault(&t.Indirect, DefaultIndirect)
 	setDefault(&t.Tombstone, DefaultTombstone)
 	setDefault(&t.JoinGrace, DefaultJoinGrace)
-	setDefault(&t.Pause, DefaultPause)
-	setDefault(&t.AskAgain, DefaultAskAgain)
+	setDefault(&t.PauseThreshold, DefaultPauseThreshold)
+	setDefault(&t.RevalidationRetry, DefaultRevalidationRetry)
 	setDefault(&t.UpdateRate, DefaultUpdateRate)
 	return t
 }
@@ -218,9 +218,9 @@
 // Stats returns the event counters.
 func (n *Node) Stats() Stats { return n.stats }
 
-// InDoubt reports whether this node was paused and has not finished its
+// Revalidating reports whether this node was paused and has not finished its
 // revalidation.
-func (n *Node) InDoubt() bool { return n.revalidation != nil }
+func (n *Node) Revalidating() bool { return n.revalidation != nil }
 
 // SetRevision sets the configuration revision to announce and the store era that
 // it belongs to, 0 if there is none.
@@ -276,8 +276,8 @@
 	return n.end()
 }
 
-// All is the limit for Broadcast that includes every member.
-const All = math.MaxInt
+// AllMembers is the limit for Broadcast that includes every member.
+const AllMembers = math.MaxInt
 
 // announceGroup identifies a set of members of which an announcement goes to a
 // few: this node's data centre, another data centre of its region, or another
@@ -288,7 +288,7 @@
 }
 
 func (n *Node) announceGroupOf(r *record) announceGroup {
-	d := locality.Place{Region: n.self.Region, DataCentre: n.self.DataCentre}.To(r.Region, r.DataCentre)
+	d := locality.Place{Region: n.self.Region, DataCentre: n.self.DataCentre}.DistanceTo(r.Region, r.DataCentre)
 	if d == locality.Far {
 		return announceGroup{d, r.Region}
 	}
@@ -347,11 +347,11 @@
 	return out
 }
 
-// Learn merges a list of members received from a peer. Members that were unknown
+// MergeUpdates merges a list of members received from a peer. Members that were unknown
 // so far are not queued for dissemination, because the node that first learnt of
 // them already disseminates them. Otherwise each starting process would spread the
 // whole list again: in a fleet of hundreds, a dozen copies per VM.
-func (n *Node) Learn(now time.Time, updates []*pb.MemberUpdate) Actions {
+func (n *Node) MergeUpdates(now time.Time, updates []*pb.MemberUpdate) Actions {
 	n.begin(now)
 	for _, u := range updates {
 		unknown := n.table.get(u.Vm) == nil
@@ -363,10 +363,10 @@
 	return n.end()
 }
 
-// Outdated answers a datagram from an incarnation that a newer one has replaced.
+// ReplyToOutdated answers a datagram from an incarnation that a newer one has replaced.
 // Without the answer the old process would never learn that it was replaced. At
 // most one answer is sent per period.
-func (n *Node) Outdated(now time.Time, sender *pb.MemberUpdate) Actions {
+func (n *Node) ReplyToOutdated(now time.Time, sender *pb.MemberUpdate) Actions {
 	n.begin(now)
 	r := n.table.get(sender.Vm)
 	if r != nil && r.Incarnation > sender.Incarnation && now.Sub(n.outdatedAt) >= n.timing.Period {
--- a/internal/membership/revalidation.go
+++ b/internal/membership/revalidation.go
@@ -33,7 +33,7 @@
 		return
 	}
 	gap := pause.Gap(n.lastTick, n.now)
-	if gap < n.timing.Pause {
+	if gap < n.timing.PauseThreshold {
 		return
 	}
 	n.stats.Pauses++
@@ -67,7 +67,7 @@
 	if rv == nil {
 		return
 	}
-	waited := n.now.Sub(rv.askedAt) >= n.timing.AskAgain
+	waited := n.now.Sub(rv.askedAt) >= n.timing.RevalidationRetry
 	switch {
 	case len(rv.responders) >= rv.quorum:
 	case !waited:
@@ -76,7 +76,7 @@
 		n.probeForRevalidation()
 		return
 	}
-	n.out.Alone = len(rv.responders) == 0
+	n.out.NoPeerAnswered = len(rv.responders) == 0
 	n.revalidation = nil
 	n.out.Revalidated = true
 }
--- a/internal/membership/start_test.go
+++ b/internal/membership/start_test.go
@@ -84,7 +84,7 @@
 	}
 	asker, giver := s.started[from], s.started[to]
 	s.do(giver, func(n *membership.Node) membership.Actions {
-		return n.Learn(s.now, []*pb.MemberUpdate{asker.node.Self()})
+		return n.MergeUpdates(s.now, []*pb.MemberUpdate{asker.node.Self()})
 	})
 	list := []*pb.MemberUpdate{giver.node.Self()}
 	if whole || regionOf(from) == regionOf(to) {
@@ -96,7 +96,7 @@
 			s.listBytes += proto.Size(u)
 		}
 	}
-	s.do(asker, func(n *membership.Node) membership.Actions { return n.Learn(s.now, list) })
+	s.do(asker, func(n *membership.Node) membership.Actions { return n.MergeUpdates(s.now, list) })
 }
 
 // minKnown returns the smallest number of serving members that any VM knows.
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -54,7 +54,7 @@
 // death, or detects another process with its name.
 func (n *Node) applySelfUpdate(u *pb.MemberUpdate) {
 	switch {
-	case u.Incarnation > n.self.Incarnation && n.opts.Sole:
+	case u.Incarnation > n.self.Incarnation && n.opts.SoleProcess:
 		n.raiseIncarnation(u.Incarnation)
 	case u.Incarnation > n.self.Incarnation:
 		n.superseded = true
--- a/internal/node/join.go
+++ b/internal/node/join.go
@@ -121,7 +121,7 @@
 		if !m.Serves() || !match(m) {
 			continue
 		}
-		d := place.Within(m.Region, m.DataCentre)
+		d := place.KnownDistanceTo(m.Region, m.DataCentre)
 		if d < shortest {
 			shortest, addresses = d, nil
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -212,7 +212,7 @@
 func (d *Daemon) distanceTo(address string) locality.Distance {
 	for _, m := range d.members.Load().Members {
 		if m.PeerAddress == address {
-			return d.place().To(m.Region, m.DataCentre)
+			return d.place().DistanceTo(m.Region, m.DataCentre)
 		}
 	}
 	return locality.Unknown
@@ -229,7 +229,7 @@
 		Registry: d.registry,
 		Now:      time.Now,
 		OnSend: func(region, dataCentre string, bytes int) {
-			d.traffic.Add(traffic.Gossip, d.place().To(region, dataCentre), bytes)
+			d.traffic.Add(traffic.Gossip, d.place().DistanceTo(region, dataCentre), bytes)
 		},
 		Keys: []*pb.PeerKey{{Id: "open", Secret: gossipKey}},
 		Node: membership.Options{
@@ -241,10 +241,10 @@
 				CallerAddress: set.CallerAddress,
 				PeerAddress:   set.PeerAddress,
 			},
-			Seeds:    otherSeeds(set),
-			Sole:     true,
-			KeepNear: true,
-			Seed:     hashName(set.VM),
+			Seeds:       otherSeeds(set),
+			SoleProcess: true,
+			PreferLocal: true,
+			Seed:        hashName(set.VM),
 			Timing: membership.Timing{
 				Period:          gossipPeriod,
 				DirectTimeout:   gossipDirectTimeout,
--- a/internal/poison/broadcast.go
+++ b/internal/poison/broadcast.go
@@ -21,7 +21,7 @@
 )
 
 // Broadcaster sends entries to up to maxPeers random members, or to all if maxPeers is
-// membership.All.
+// membership.AllMembers.
 type Broadcaster interface {
 	Broadcast(entries []*pb.QuarantineEntry, maxPeers int)
 }
@@ -55,7 +55,7 @@
 		if len(entries) == 0 {
 			return
 		}
-		to.Broadcast(quarantine.Encode(entries), membership.All)
+		to.Broadcast(quarantine.Encode(entries), membership.AllMembers)
 		time.Sleep(minBroadcastGap)
 	}
 }
--- a/internal/poison/guard_test.go
+++ b/internal/poison/guard_test.go
@@ -62,7 +62,7 @@
 	go func() { done <- a.Run(ctx, broadcasts) }()
 	a.crash(time.Now(), 3)
 	first := broadcasts.next(t)
-	if first.maxPeers != membership.All || len(first.entries) != 1 {
+	if first.maxPeers != membership.AllMembers || len(first.entries) != 1 {
 		t.Errorf("first broadcast: %+v", first)
 	}
 	b.HandleEntries("a", first.entries)
--- a/internal/spread/fleet.go
+++ b/internal/spread/fleet.go
@@ -407,7 +407,7 @@
 // distance is how far one VM is from another.
 func distance(from, to *vm) locality.Distance {
 	place := locality.Place{Region: from.peer.Region, DataCentre: from.peer.DataCentre}
-	return place.To(to.peer.Region, to.peer.DataCentre)
+	return place.DistanceTo(to.peer.Region, to.peer.DataCentre)
 }
 
 // probed is the VM that another one probes next.
