--- a/internal/daemon/backend.go
+++ b/internal/daemon/backend.go
@@ -132,7 +132,7 @@
 	h.status.subscribe(from, reply)
 }
 
-func (h *peerHandler) Gone(from *pb.Hello) {
+func (h *peerHandler) Closed(from *pb.Hello) {
 	h.status.unsubscribe(from)
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -145,9 +145,9 @@
 		Now:           time.Now,
 		Health:        health.DefaultOptions(),
 		Ledger:        dispatch.DefaultLedger(),
-		Pause:         owner.DefaultPause(),
+		Pause:         owner.DefaultPauseOptions(),
 		Dial:          d.listeners.DialUpstream,
-		InDoubt:       d.gossip.Revalidating,
+		ViewStale:     d.gossip.Revalidating,
 	})
 	d.pool = peer.NewPool(peer.Options{
 		Log:      d.log,
--- a/internal/daemon/grant.go
+++ b/internal/daemon/grant.go
@@ -14,11 +14,11 @@
 	p := d.grantTable().Place(u.ID)
 	switch d.settings.Vm {
 	case p.Owner:
-		return owner.GrantFor(owner.Main, u)
+		return owner.GrantFor(owner.RoleOwner, u)
 	case p.Standby:
-		return owner.GrantFor(owner.Standby, u)
+		return owner.GrantFor(owner.RoleStandby, u)
 	default:
-		return owner.GrantFor(owner.None, u)
+		return owner.GrantFor(owner.RoleNone, u)
 	}
 }
 
@@ -27,7 +27,7 @@
 func directGrant(u *contract.Upstream, vms int) owner.Grant {
 	vms = max(1, vms)
 	return owner.Grant{
-		Role:        owner.Main,
+		Role:        owner.RoleOwner,
 		Slots:       max(1, u.Slots/vms),
 		Connections: max(1, u.Connections/vms),
 	}
--- a/internal/owner/bench_test.go
+++ b/internal/owner/bench_test.go
@@ -28,7 +28,7 @@
 // BenchmarkRefuse runs one sub-request that is refused, so without an HTTP call.
 func BenchmarkRefuse(b *testing.B) {
 	r := newRig(b, rigConfig{realClock: true, slots: 5, connections: 40})
-	r.setRole(None)
+	r.setRole(RoleNone)
 	id := uint64(1)
 	reply := func(*pb.SubReply) {}
 	b.ReportAllocs()
@@ -87,7 +87,7 @@
 // the contention on the locks that every sub-request takes.
 func BenchmarkRefuseParallel(b *testing.B) {
 	r := newRig(b, rigConfig{realClock: true, slots: 5, connections: 40})
-	r.setRole(None)
+	r.setRole(RoleNone)
 	var id atomic.Uint64
 	reply := func(*pb.SubReply) {}
 	b.ReportAllocs()
--- a/internal/owner/executor.go
+++ b/internal/owner/executor.go
@@ -64,13 +64,13 @@
 	e.granted = g
 	e.limiter.SetPublished(g.Slots)
 	e.client.SetConnections(g.Connections)
-	if g.Role == Main && before.Role != Main {
+	if g.Role == RoleOwner && before.Role != RoleOwner {
 		e.limiter.Restart()
 	}
 	if g.Connections < before.Connections {
 		e.closeIdle = true
 	}
-	if g.Role == Main || before.Role != Main {
+	if g.Role == RoleOwner || before.Role != RoleOwner {
 		return nil
 	}
 	return e.queue.Flush(dispatch.Refusal{Result: pb.Result_NOT_OWNER, Reason: dispatch.NotOwner})
--- a/internal/owner/grant.go
+++ b/internal/owner/grant.go
@@ -6,12 +6,12 @@
 type Role int
 
 const (
-	// None means that the VM sends no requests to the upstream.
-	None Role = iota
-	// Standby means that the VM has one slot, used when the owner fails.
-	Standby
-	// Main means that the VM is the owner.
-	Main
+	// RoleNone means that the VM sends no requests to the upstream.
+	RoleNone Role = iota
+	// RoleStandby means that the VM has one slot, used when the owner fails.
+	RoleStandby
+	// RoleOwner means that the VM is the owner.
+	RoleOwner
 )
 
 // Grant is the share of an upstream's capacity that a VM may use.
@@ -47,11 +47,11 @@
 		reserve = standbyConnections
 	}
 	switch {
-	case role == Main:
+	case role == RoleOwner:
 		conns := min(u.Slots+spareConnections, u.Connections-reserve)
-		return Grant{Role: Main, Slots: min(u.Slots, max(1, conns-1)), Connections: conns}
-	case role == Standby && reserve > 0:
-		return Grant{Role: Standby, Slots: 1, Connections: reserve}
+		return Grant{Role: RoleOwner, Slots: min(u.Slots, max(1, conns-1)), Connections: conns}
+	case role == RoleStandby && reserve > 0:
+		return Grant{Role: RoleStandby, Slots: 1, Connections: reserve}
 	default:
 		return Grant{}
 	}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -50,16 +50,16 @@
 	Health health.Options
 	Ledger dispatch.LedgerOptions
 	Pause  dispatch.PauseOptions
-	// InDoubt reports whether this VM's view of the cluster may be out of date,
+	// ViewStale reports whether this VM's view of the cluster may be out of date,
 	// so that it may have lost its upstreams to another VM. Dispatching is
 	// suspended while it returns true. Nil means never.
-	InDoubt func(now time.Time) bool
+	ViewStale func(now time.Time) bool
 }
 
-// DefaultPause detects a pause after a second without a tick and keeps dispatching
+// DefaultPauseOptions detects a pause after a second without a tick and keeps dispatching
 // suspended for another 100 ms, so that messages that arrived meanwhile are read
 // first.
-func DefaultPause() dispatch.PauseOptions {
+func DefaultPauseOptions() dispatch.PauseOptions {
 	return dispatch.PauseOptions{Gap: time.Second, Settle: 100 * time.Millisecond}
 }
 
@@ -150,7 +150,7 @@
 func (o *Owner) ownedUpstreams(snap *contract.Snapshot) []*contract.Upstream {
 	var out []*contract.Upstream
 	for _, u := range snap.Upstreams() {
-		if o.opts.Grant(u).Role == Main {
+		if o.opts.Grant(u).Role == RoleOwner {
 			out = append(out, u)
 		}
 	}
@@ -335,12 +335,12 @@
 	o.pauseMu.Lock()
 	suspended, gap := o.pause.Check(now)
 	o.pauseMu.Unlock()
-	if suspended || o.opts.InDoubt == nil {
+	if suspended || o.opts.ViewStale == nil {
 		return suspended, gap
 	}
 	// A request that arrives now was sent after the pause, so its remaining time
 	// is not reduced.
-	return o.opts.InDoubt(now), 0
+	return o.opts.ViewStale(now), 0
 }
 
 // refuse answers an item that did not run.
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -20,7 +20,7 @@
 	for conns := 1; conns <= 60; conns++ {
 		for slots := 1; slots <= min(conns, 8); slots++ {
 			u := &contract.Upstream{Slots: slots, Connections: conns}
-			main, standby := GrantFor(Main, u), GrantFor(Standby, u)
+			main, standby := GrantFor(RoleOwner, u), GrantFor(RoleStandby, u)
 			g.Expect(main.Connections+standby.Connections).To(BeNumerically("<=", conns), "%d slots, %d connections", slots, conns)
 			g.Expect(main.Slots).To(BeNumerically("<=", max(1, main.Connections-1)))
 			g.Expect(main.Slots).To(BeNumerically(">=", 1))
@@ -115,7 +115,7 @@
 // connections in addition to those of the new owner. Ownership moves while two
 // requests run and one is queued. Executors outlived their ownership.
 func TestLostOwnership(t *testing.T) {
-	for name, role := range map[string]Role{"to none": None, "to standby": Standby} {
+	for name, role := range map[string]Role{"to none": RoleNone, "to standby": RoleStandby} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			r := newRig(t, rigConfig{slots: 2, connections: 40})
@@ -125,7 +125,7 @@
 			waiting := r.send(3)
 			r.setRole(role)
 			g.Expect((<-waiting).Result).To(Equal(pb.Result_NOT_OWNER))
-			if role == None {
+			if role == RoleNone {
 				g.Expect((<-r.send(4)).Result).To(Equal(pb.Result_NOT_OWNER))
 			}
 			release()
@@ -165,9 +165,9 @@
 func TestTakeOverRamps(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(t, rigConfig{slots: 3, connections: 40})
-	r.setRole(None)
+	r.setRole(RoleNone)
 	r.tick()
-	r.setRole(Main)
+	r.setRole(RoleOwner)
 	held, release := r.hold(1)
 	waiting := r.send(2)
 	g.Expect(r.executor().queue.Len()).To(Equal(1), "one slot at first")
@@ -251,7 +251,7 @@
 	g.Expect(r.executor().queue.Len()).To(Equal(3), "nothing is dispatched yet")
 	r.cancel(2)
 	g.Expect((<-cancelled).Result).To(Equal(pb.Result_CANCELLED))
-	r.advance(DefaultPause().Settle)
+	r.advance(DefaultPauseOptions().Settle)
 	r.tick()
 	g.Expect((<-expired).Result).To(Equal(pb.Result_TOO_LATE))
 	g.Expect((<-kept).Result).To(Equal(pb.Result_OK))
@@ -294,10 +294,10 @@
 func TestOnlyTheOwnerProbes(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(t, rigConfig{slots: 2, connections: 40})
-	r.setRole(Standby)
+	r.setRole(RoleStandby)
 	g.Expect((<-r.send(1)).Result).To(Equal(pb.Result_OK), "a standby serves")
 	g.Expect(r.tick()).To(BeZero())
-	r.setRole(Main)
+	r.setRole(RoleOwner)
 	g.Expect(r.tick()).To(Equal(1))
 	g.Expect(r.server.Peak()).To(BeNumerically("<=", standbyConnections))
 }
--- a/internal/owner/rig_test.go
+++ b/internal/owner/rig_test.go
@@ -71,7 +71,7 @@
 	if r.config.address == "" {
 		r.config.address = r.server.Address()
 	}
-	r.role.Store(int32(Main))
+	r.role.Store(int32(RoleOwner))
 	r.owner = New(Options{
 		Log:           zap.NewNop(),
 		Registry:      prometheus.NewRegistry(),
@@ -83,7 +83,7 @@
 		Limit:         c.limit,
 		Health:        health.DefaultOptions(),
 		Ledger:        dispatch.DefaultLedger(),
-		Pause:         DefaultPause(),
+		Pause:         DefaultPauseOptions(),
 	})
 	r.apply(false)
 	t.Cleanup(r.stop)
--- a/internal/owner/status.go
+++ b/internal/owner/status.go
@@ -19,7 +19,7 @@
 func (e *executor) probeDue(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.granted.Role == Main && !e.closed && e.health.ProbeDue(now)
+	return e.granted.Role == RoleOwner && !e.closed && e.health.ProbeDue(now)
 }
 
 func (e *executor) probeSkipped() {
@@ -78,7 +78,7 @@
 		e.mu.Unlock()
 		return
 	}
-	lost := e.granted.Role != Main
+	lost := e.granted.Role != RoleOwner
 	e.reported = reportedStatus{}
 	if !lost {
 		e.reported = reportedStatus{state: e.health.State(), snapshots: e.health.Snapshots()}
@@ -95,7 +95,7 @@
 // statusReported reports whether the current status was already reported. The
 // caller holds mu.
 func (e *executor) statusReported() bool {
-	if e.granted.Role != Main {
+	if e.granted.Role != RoleOwner {
 		return e.reported.state == pb.UpstreamState_UPSTREAM_STATE_UNSPECIFIED
 	}
 	return e.health.State() == e.reported.state && sameSnapshots(e.health.Snapshots(), e.reported.snapshots)
--- a/internal/peer/flush_test.go
+++ b/internal/peer/flush_test.go
@@ -26,7 +26,7 @@
 func (a *replyCapture) Frame(_ *pb.Hello, _ *pb.Frame, reply func(*pb.Frame)) {
 	a.reply <- reply
 }
-func (a *replyCapture) Gone(*pb.Hello) {}
+func (a *replyCapture) Closed(*pb.Hello) {}
 
 // frameCounter counts the frames received from peers.
 type frameCounter struct{ frames atomic.Int64 }
--- a/internal/peer/identify_test.go
+++ b/internal/peer/identify_test.go
@@ -22,7 +22,7 @@
 
 func (c *counter) Opened(*pb.Hello, func(*pb.Frame))           { c.opened.Add(1) }
 func (c *counter) Frame(*pb.Hello, *pb.Frame, func(*pb.Frame)) { c.frames.Add(1) }
-func (c *counter) Gone(*pb.Hello)                              {}
+func (c *counter) Closed(*pb.Hello)                            {}
 
 // lossCounter counts the frames that a pool reports as lost.
 type lossCounter struct{ lost atomic.Int64 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -23,8 +23,8 @@
 	// Opened is called when a peer's stream opens, before its first frame.
 	Opened(from *pb.Hello, reply func(*pb.Frame))
 	Frame(from *pb.Hello, f *pb.Frame, reply func(*pb.Frame))
-	// Gone is called when the peer's stream has ended.
-	Gone(from *pb.Hello)
+	// Closed is called when the peer's stream has ended.
+	Closed(from *pb.Hello)
 }
 
 // Server accepts streams from peers.
@@ -190,7 +190,7 @@
 	err = e.readLoop(stream, hello, out)
 	cancel()
 	out.close()
-	e.server.handler.Gone(hello)
+	e.server.handler.Closed(hello)
 	return err
 }
 
