--- a/cmd/sycamorekeel/check.go
+++ b/cmd/sycamorekeel/check.go
@@ -115,7 +115,7 @@
 	snapshot := contract.Compile(1, docs)
 	defines := slices.ContainsFunc(docs, func(d contract.Accepted) bool { return len(d.Document.Services) > 0 })
 	for _, text := range snapshot.Conflicts {
-		if !defines && slices.Contains(snapshot.Undefined, text) {
+		if !defines && slices.Contains(snapshot.UndefinedServices, text) {
 			file, message, _ := strings.Cut(text, ": ")
 			r.Warnings = append(r.Warnings, finding.Finding{File: file, Message: message})
 			continue
--- a/internal/contract/snapshot.go
+++ b/internal/contract/snapshot.go
@@ -25,9 +25,9 @@
 	// Conflicts describes names, addresses and tokens that two documents use and
 	// services that no document defines.
 	Conflicts []string
-	// Undefined is the subset of Conflicts about services that no document
+	// UndefinedServices is the subset of Conflicts about services that no document
 	// defines.
-	Undefined []string
+	UndefinedServices []string
 }
 
 // tokenOwner is a token hash and the customer that it authenticates.
@@ -215,7 +215,7 @@
 		if svc == nil {
 			text := fmt.Sprintf("%s: customer %s, kind %s: service %s is not defined", d.Name, v.Name, k.Name, k.Service)
 			s.Conflicts = append(s.Conflicts, text)
-			s.Undefined = append(s.Undefined, text)
+			s.UndefinedServices = append(s.UndefinedServices, text)
 		}
 		c.Kinds[k.Name] = &Kind{Kind: k, Customer: v.Name, Service: svc}
 	}
--- a/internal/finding/checker.go
+++ b/internal/finding/checker.go
@@ -13,35 +13,35 @@
 	Findings List
 }
 
-// Fault adds a finding on a field; the message is formatted as by fmt.Sprintf.
-func (c *Checker) Fault(field, format string, args ...any) {
+// Addf adds a finding on a field; the message is formatted as by fmt.Sprintf.
+func (c *Checker) Addf(field, format string, args ...any) {
 	c.Findings = append(c.Findings, Finding{File: c.File, Field: field, Message: fmt.Sprintf(format, args...)})
 }
 
-// Given checks that a string is not empty.
-func (c *Checker) Given(field, value string) {
+// NonEmpty checks that a string is not empty.
+func (c *Checker) NonEmpty(field, value string) {
 	if value == "" {
-		c.Fault(field, "must be given")
+		c.Addf(field, "must be given")
 	}
 }
 
 // Address checks that a string is an IP address and a port.
 func (c *Checker) Address(field, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		c.Fault(field, "must be an IP address and a port, is %q", value)
+		c.Addf(field, "must be an IP address and a port, is %q", value)
 	}
 }
 
 // Positive checks that a number is above 0. It rejects NaN.
 func (c *Checker) Positive(field string, value float64) {
 	if !(value > 0) {
-		c.Fault(field, "must be above 0, is %v", value)
+		c.Addf(field, "must be above 0, is %v", value)
 	}
 }
 
-// AtLeastZero checks that a number is 0 or more. It rejects NaN.
-func (c *Checker) AtLeastZero(field string, value float64) {
+// NonNegative checks that a number is 0 or more. It rejects NaN.
+func (c *Checker) NonNegative(field string, value float64) {
 	if !(value >= 0) {
-		c.Fault(field, "must be 0 or more, is %v", value)
+		c.Addf(field, "must be 0 or more, is %v", value)
 	}
 }
--- a/internal/standalone/deployment.go
+++ b/internal/standalone/deployment.go
@@ -40,7 +40,7 @@
 
 func (c *checker) deployment(d *pb.EdgeDeployment) {
 	if d.Version == 0 {
-		c.Fault("version", "must be above 0")
+		c.Addf("version", "must be above 0")
 	}
 	for i, r := range d.Routes {
 		c.route(fmt.Sprintf("routes[%d]", i), r)
@@ -48,34 +48,34 @@
 	seen := map[string]bool{}
 	for i, u := range d.Upstreams {
 		place := fmt.Sprintf("upstreams[%d]", i)
-		c.Given(place+".id", u.Id)
-		c.Given(place+".service", u.Service)
+		c.NonEmpty(place+".id", u.Id)
+		c.NonEmpty(place+".service", u.Service)
 		c.Address(place+".address", u.Address)
 		if seen[u.Id] {
-			c.Fault(place+".id", "is given twice")
+			c.Addf(place+".id", "is given twice")
 		}
 		seen[u.Id] = true
 	}
 }
 
 func (c *checker) route(place string, r *pb.EdgeRoute) {
-	c.Given(place+".name", r.Name)
-	c.Given(place+".host", r.Host)
+	c.NonEmpty(place+".name", r.Name)
+	c.NonEmpty(place+".host", r.Host)
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
-		c.Fault(place+".prefix", "must begin and end with a slash")
+		c.Addf(place+".prefix", "must begin and end with a slash")
 	}
 	if (len(r.Targets) > 0) == (len(r.Shards) > 0) {
-		c.Fault(place, "must have either targets or shards")
+		c.Addf(place, "must have either targets or shards")
 	}
 	if r.MinCoveragePercent > 100 {
-		c.Fault(place+".min_coverage_percent", "must be 100 at most")
+		c.Addf(place+".min_coverage_percent", "must be 100 at most")
 	}
 	total := uint32(0)
 	for _, t := range r.Targets {
 		total += t.Weight
 	}
 	if len(r.Targets) > 0 && total == 0 {
-		c.Fault(place+".targets", "must have a weight above 0")
+		c.Addf(place+".targets", "must have a weight above 0")
 	}
 }
 
--- a/internal/standalone/settings.go
+++ b/internal/standalone/settings.go
@@ -57,10 +57,10 @@
 type checker struct{ finding.Checker }
 
 func (c *checker) settings(s *pb.EdgeSettings) {
-	c.Given("vm", s.Vm)
-	c.Given("region", s.Region)
-	c.Given("data_centre", s.DataCentre)
-	c.Given("deployment", s.Deployment)
+	c.NonEmpty("vm", s.Vm)
+	c.NonEmpty("region", s.Region)
+	c.NonEmpty("data_centre", s.DataCentre)
+	c.NonEmpty("deployment", s.Deployment)
 	c.Address("caller_address", s.CallerAddress)
 	c.Address("ready_address", s.ReadyAddress)
 	c.Address("directory_address", s.DirectoryAddress)
