--- a/internal/callerapi/callerapi_test.go
+++ b/internal/callerapi/callerapi_test.go
@@ -133,7 +133,7 @@
 // fakeFleet offers the first replica only, once per shard.
 type fakeFleet struct{ query.UpstreamPolicy }
 
-func (fakeFleet) Replica(_ time.Time, w query.ReplicaRequest) int {
+func (fakeFleet) PickReplica(_ time.Time, w query.ReplicaRequest) int {
 	if w.Tried != 0 {
 		return query.NoReplica
 	}
--- a/internal/query/harness_test.go
+++ b/internal/query/harness_test.go
@@ -66,7 +66,7 @@
 	return h
 }
 
-func (h *harness) Replica(_ time.Time, w ReplicaRequest) int {
+func (h *harness) PickReplica(_ time.Time, w ReplicaRequest) int {
 	for i, u := range w.Shard.Replicas {
 		if w.Tried&(1<<i) == 0 && !h.unavailable[u.ID] {
 			return i
--- a/internal/query/non_idempotent_test.go
+++ b/internal/query/non_idempotent_test.go
@@ -26,7 +26,7 @@
 // permissiveFleet picks the replicas in turn and allows every hedge and retry.
 type permissiveFleet struct{}
 
-func (permissiveFleet) Replica(_ time.Time, w ReplicaRequest) int {
+func (permissiveFleet) PickReplica(_ time.Time, w ReplicaRequest) int {
 	for i := range w.Shard.Replicas {
 		if w.Tried&(1<<i) == 0 {
 			return i
--- a/internal/query/plan.go
+++ b/internal/query/plan.go
@@ -73,8 +73,8 @@
 // UpstreamPolicy provides replica selection, latency statistics and budgets to a query. Its
 // methods must return quickly and must not block.
 type UpstreamPolicy interface {
-	// Replica returns the index of the best replica for a sub-request, or NoReplica.
-	Replica(now time.Time, w ReplicaRequest) int
+	// PickReplica returns the index of the best replica for a sub-request, or NoReplica.
+	PickReplica(now time.Time, w ReplicaRequest) int
 	// RecordSend records that a sub-request is sent to an upstream.
 	RecordSend(now time.Time, u *contract.Upstream)
 	// HedgeDelay returns how long to wait for a replica of the shard before a hedge. If
--- a/internal/query/retry.go
+++ b/internal/query/retry.go
@@ -73,7 +73,7 @@
 	if q.mustHold(now, n.cause) {
 		return q.holdAttempt(now, shard, n)
 	}
-	replica := q.fleet.Replica(now, ReplicaRequest{
+	replica := q.fleet.PickReplica(now, ReplicaRequest{
 		Shard:    q.targets[shard],
 		Snapshot: q.snapshot,
 		Tried:    sh.tried,
--- a/internal/router/pin.go
+++ b/internal/router/pin.go
@@ -75,8 +75,8 @@
 	return p.(*pinCache)
 }
 
-// Status records an upstream's status as reported by its owner.
-func (r *Router) Status(now time.Time, status *pb.UpstreamStatus) {
+// RecordStatus records an upstream's status as reported by its owner.
+func (r *Router) RecordStatus(now time.Time, status *pb.UpstreamStatus) {
 	st := r.upstream(status.Upstream)
 	st.mu.Lock()
 	st.ready.ApplyStatus(now, status)
--- a/internal/router/replica.go
+++ b/internal/router/replica.go
@@ -151,11 +151,11 @@
 	cold       bool
 }
 
-// Replica returns the index of the replica with the lowest expected answer time:
+// PickReplica returns the index of the replica with the lowest expected answer time:
 // mean latency times the sub-requests open from this VM, including the new one.
 // Replicas of similar cost take turns. A replica that is down is used only if there
 // is no other; one that is draining or lacks the snapshot is never used.
-func (r *Router) Replica(now time.Time, w query.ReplicaRequest) int {
+func (r *Router) PickReplica(now time.Time, w query.ReplicaRequest) int {
 	var buf [8]candidate
 	list := r.candidates(now, w, buf[:0])
 	if len(list) == 0 {
--- a/internal/router/replica_test.go
+++ b/internal/router/replica_test.go
@@ -28,7 +28,7 @@
 // simulate sends one sub-request to replicas with the given answer times and
 // withdraws it after timeout, as a hedge would. It returns the replica used.
 func simulate(r *Router, now time.Time, s *contract.Shard, times []time.Duration, timeout time.Duration) int {
-	i := r.Replica(now, query.ReplicaRequest{Shard: s, Snapshot: snapshot7, Explore: true})
+	i := r.PickReplica(now, query.ReplicaRequest{Shard: s, Snapshot: snapshot7, Explore: true})
 	u := s.Replicas[i]
 	r.RecordSend(now, u)
 	if times[i] > timeout {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -102,7 +102,7 @@
 	for _, u := range s.Replicas {
 		r.Observe(start, query.Observation{Upstream: u, Snapshot: v8, Reply: &pb.SubReply{Result: pb.Result_NO_SNAPSHOT}})
 	}
-	if i := r.Replica(start, query.ReplicaRequest{Shard: s, Snapshot: v8}); i != query.NoReplica {
+	if i := r.PickReplica(start, query.ReplicaRequest{Shard: s, Snapshot: v8}); i != query.NoReplica {
 		t.Errorf("replica %d was chosen for a snapshot it lacks", i)
 	}
 	if v := pinnedVersion(start); v != 7 {
@@ -111,8 +111,8 @@
 	if _, snapshot, ok := r.Repin(start, svc, v8); !ok || snapshot.Version != 7 {
 		t.Errorf("restarts at %v, %v", snapshot, ok)
 	}
-	r.Status(start, &pb.UpstreamStatus{Upstream: s.Replicas[0].ID, State: pb.UpstreamState_DRAINING})
-	if i := r.Replica(start, query.ReplicaRequest{Shard: s, Snapshot: snapshot7}); i != 1 {
+	r.RecordStatus(start, &pb.UpstreamStatus{Upstream: s.Replicas[0].ID, State: pb.UpstreamState_DRAINING})
+	if i := r.PickReplica(start, query.ReplicaRequest{Shard: s, Snapshot: snapshot7}); i != 1 {
 		t.Errorf("replica %d was chosen, want the one that is not draining", i)
 	}
 	if v := pinnedVersion(start.Add(10 * time.Minute)); v != 8 {
