--- a/internal/edge/observe_test.go
+++ b/internal/edge/observe_test.go
@@ -25,7 +25,7 @@
 type testEngine struct {
 	*Engine
 	out      bytes.Buffer
-	ring     *logring.Ring
+	ring     *logring.Buffer
 	registry *prometheus.Registry
 }
 
--- a/internal/logring/classes.go
+++ b/internal/logring/classes.go
@@ -43,7 +43,7 @@
 }
 
 // Loggers returns loggers that write to the ring.
-func (r *Ring) Loggers() Loggers {
+func (r *Buffer) Loggers() Loggers {
 	return Loggers{
 		Changes:  r.logger(Change),
 		Failures: r.logger(Failure),
@@ -56,7 +56,7 @@
 	return Loggers{zap.NewNop(), zap.NewNop(), zap.NewNop()}
 }
 
-func (r *Ring) logger(class Class) *zap.Logger {
+func (r *Buffer) logger(class Class) *zap.Logger {
 	c := zap.NewProductionEncoderConfig()
 	c.EncodeTime = zapcore.TimeEncoderOfLayout(TimeLayout)
 	c.EncodeDuration = zapcore.MillisDurationEncoder
@@ -66,7 +66,7 @@
 
 // classWriter is a zapcore.WriteSyncer that adds lines of one class to a ring.
 type classWriter struct {
-	ring  *Ring
+	ring  *Buffer
 	class Class
 }
 
--- a/internal/logring/logring.go
+++ b/internal/logring/logring.go
@@ -28,9 +28,9 @@
 	flushInterval = 250 * time.Millisecond
 )
 
-// Ring buffers log lines until they are written. Its methods are safe for
+// Buffer buffers log lines until they are written. Its methods are safe for
 // concurrent use, except that only one goroutine may call Run or Flush at a time.
-type Ring struct {
+type Buffer struct {
 	vm      string
 	out     io.Writer
 	now     func() time.Time
@@ -51,12 +51,12 @@
 
 // New returns an empty ring that writes to out. vm is the VM name that every line
 // carries.
-func New(vm string, out io.Writer, now func() time.Time) *Ring {
-	return &Ring{vm: vm, out: out, now: now, tokens: bytesPerSecond, lastRefill: now()}
+func New(vm string, out io.Writer, now func() time.Time) *Buffer {
+	return &Buffer{vm: vm, out: out, now: now, tokens: bytesPerSecond, lastRefill: now()}
 }
 
 // add copies a line into the buffer, or drops and counts it.
-func (r *Ring) add(class Class, line []byte) {
+func (r *Buffer) add(class Class, line []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refill()
@@ -71,11 +71,11 @@
 }
 
 // Dropped returns the number of lines of a class dropped so far.
-func (r *Ring) Dropped(class Class) uint64 { return r.dropped[class].Load() }
+func (r *Buffer) Dropped(class Class) uint64 { return r.dropped[class].Load() }
 
 // Run flushes the buffer periodically until ctx is done, then flushes it once more.
 // It returns the error of that last flush.
-func (r *Ring) Run(ctx context.Context) error {
+func (r *Buffer) Run(ctx context.Context) error {
 	t := time.NewTicker(flushInterval)
 	defer t.Stop()
 	for {
@@ -94,7 +94,7 @@
 }
 
 // Flush writes the buffered lines, followed by the summary lines on dropped lines.
-func (r *Ring) Flush() error {
+func (r *Buffer) Flush() error {
 	r.mu.Lock()
 	buf := r.buf
 	r.buf = r.spare[:0]
@@ -110,7 +110,7 @@
 
 // write writes whole lines, as many per call as fit into maxWriteBytes. A line longer
 // than that is written in one call.
-func (r *Ring) write(lines []byte) error {
+func (r *Buffer) write(lines []byte) error {
 	for len(lines) > 0 {
 		n := len(lines)
 		if n > maxWriteBytes {
@@ -129,7 +129,7 @@
 
 // appendDropped appends a summary line for each class that has dropped lines which
 // no earlier summary line reported.
-func (r *Ring) appendDropped(buf []byte) []byte {
+func (r *Buffer) appendDropped(buf []byte) []byte {
 	for class := range numClasses {
 		dropped := r.Dropped(class)
 		if dropped == r.reported[class] {
@@ -143,7 +143,7 @@
 }
 
 // refill adds the tokens for the time since the last refill.
-func (r *Ring) refill() {
+func (r *Buffer) refill() {
 	now := r.now()
 	r.tokens = min(r.tokens+bytesPerSecond*max(0, now.Sub(r.lastRefill).Seconds()), bytesPerSecond)
 	r.lastRefill = now
--- a/internal/logring/logring_test.go
+++ b/internal/logring/logring_test.go
@@ -178,4 +178,4 @@
 }
 
 // changeWriter returns a writer for lines of the most important class.
-func changeWriter(r *Ring) classWriter { return classWriter{r, Change} }
+func changeWriter(r *Buffer) classWriter { return classWriter{r, Change} }
--- a/internal/logring/metrics.go
+++ b/internal/logring/metrics.go
@@ -6,10 +6,10 @@
 	"Log lines left out because too many were written, by class.", []string{"class"}, nil)
 
 // Describe implements prometheus.Collector.
-func (r *Ring) Describe(out chan<- *prometheus.Desc) { out <- droppedDesc }
+func (r *Buffer) Describe(out chan<- *prometheus.Desc) { out <- droppedDesc }
 
 // Collect implements prometheus.Collector.
-func (r *Ring) Collect(out chan<- prometheus.Metric) {
+func (r *Buffer) Collect(out chan<- prometheus.Metric) {
 	for class := range numClasses {
 		out <- prometheus.MustNewConstMetric(droppedDesc, prometheus.CounterValue, float64(r.Dropped(class)), class.String())
 	}
