--- a/internal/config/events.go
+++ b/internal/config/events.go
@@ -19,8 +19,8 @@
 // Peers replaces the list of peers, which excludes this daemon.
 type Peers struct{ List []Peer }
 
-// Heard reports the revision that a peer claims to hold.
-type Heard struct {
+// RevisionClaimed reports the revision that a peer claims to hold.
+type RevisionClaimed struct {
 	Address  string
 	Revision uint64
 }
@@ -42,20 +42,20 @@
 	Page    Page
 }
 
-// Answered is the platform's response to a Read.
-type Answered struct{ Page Page }
+// ReadCompleted is the platform's response to a Read.
+type ReadCompleted struct{ Page Page }
 
-// Failed reports that a Read failed.
-type Failed struct{ Reason FailureReason }
+// ReadFailed reports that a Read failed.
+type ReadFailed struct{ Reason FailureReason }
 
-func (Tick) event()     {}
-func (Peers) event()    {}
-func (Heard) event()    {}
-func (Pulled) event()   {}
-func (PullLost) event() {}
-func (Pushed) event()   {}
-func (Answered) event() {}
-func (Failed) event()   {}
+func (Tick) event()            {}
+func (Peers) event()           {}
+func (RevisionClaimed) event() {}
+func (Pulled) event()          {}
+func (PullLost) event()        {}
+func (Pushed) event()          {}
+func (ReadCompleted) event()   {}
+func (ReadFailed) event()      {}
 
 // FailureReason is the reason why a read of the platform failed.
 type FailureReason string
@@ -80,7 +80,7 @@
 
 // Read requests the changes above revision After from the platform, which waits
 // up to Wait for the first one. At most one Read is open at a time; it ends with
-// Answered or Failed.
+// ReadCompleted or Failed.
 type Read struct {
 	After uint64
 	Wait  time.Duration
@@ -102,21 +102,21 @@
 	Page      Page
 }
 
-// PutInForce reports that the State has changed.
-type PutInForce struct{}
+// StateChanged reports that the State has changed.
+type StateChanged struct{}
 
-// Count increments the metric of a pull event.
-type Count struct{ Event PullEvent }
+// CountPull increments the metric of a pull event.
+type CountPull struct{ Event PullEvent }
 
-func (Read) action()         {}
-func (Pull) action()         {}
-func (Push) action()         {}
-func (PutInForce) action()   {}
-func (Count) action()        {}
-func (CountFailure) action() {}
+func (Read) action()             {}
+func (Pull) action()             {}
+func (Push) action()             {}
+func (StateChanged) action()     {}
+func (CountPull) action()        {}
+func (CountReadFailure) action() {}
 
-// CountFailure increments the metric of failed reads.
-type CountFailure struct{ Reason FailureReason }
+// CountReadFailure increments the metric of failed reads.
+type CountReadFailure struct{ Reason FailureReason }
 
 // PullEvent is the kind of pull event in a Count.
 type PullEvent string
@@ -131,5 +131,5 @@
 	PullFellShort PullEvent = "fell_short"
 )
 
-// CountedEvents lists every pull event.
-var CountedEvents = []PullEvent{PullTimedOut, PullWasLost, PullRepaired, PullDiffers, PullLate, PullFellShort}
+// PullEvents lists every pull event.
+var PullEvents = []PullEvent{PullTimedOut, PullWasLost, PullRepaired, PullDiffers, PullLate, PullFellShort}
--- a/internal/config/pulls.go
+++ b/internal/config/pulls.go
@@ -160,7 +160,7 @@
 func (s *Syncer) handlePulled(e Pulled) {
 	o := s.pulls.open[e.ID]
 	if o == nil {
-		s.emit(Count{PullLate})
+		s.emit(CountPull{PullLate})
 		s.mergePage(e.Page)
 		return
 	}
@@ -206,7 +206,7 @@
 func (s *Syncer) finishClaimPull(o *openPull, revision uint64) {
 	for _, c := range s.pulls.claims {
 		if c.address == o.address && c.revision > revision {
-			s.emit(Count{PullFellShort})
+			s.emit(CountPull{PullFellShort})
 			s.dropClaim(o.address)
 			return
 		}
@@ -231,13 +231,13 @@
 func (s *Syncer) finishRepair(o *openPull, page Page) {
 	p := &s.pulls
 	if s.state.Digest() != o.digest {
-		s.emit(Count{PullRepaired})
+		s.emit(CountPull{PullRepaired})
 	}
 	difference := page.Digest - s.state.Digest()
 	if difference == 0 || page.Revision != s.state.Revision() {
 		return
 	}
-	s.emit(Count{PullDiffers})
+	s.emit(CountPull{PullDiffers})
 	if len(p.unresolved) >= maxUnresolved {
 		clear(p.unresolved)
 	}
@@ -250,7 +250,7 @@
 		return
 	}
 	delete(s.pulls.open, id)
-	s.emit(Count{outcome})
+	s.emit(CountPull{outcome})
 	switch o.purpose {
 	case purposePoll:
 		s.pulls.failedPolls++
--- a/internal/config/sim_test.go
+++ b/internal/config/sim_test.go
@@ -239,7 +239,7 @@
 
 func (n *simVM) receiveHeartbeat(from *simVM) {
 	if n.up && from.up {
-		n.step(Heard{Address: from.peer().Address, Revision: from.syncer.State().Revision()})
+		n.step(RevisionClaimed{Address: from.peer().Address, Revision: from.syncer.State().Revision()})
 	}
 }
 
@@ -265,11 +265,11 @@
 		for _, address := range a.Addresses {
 			n.push(n.sim.find(address), a.Page)
 		}
-	case Count:
+	case CountPull:
 		n.counted[a.Event]++
-	case CountFailure:
+	case CountReadFailure:
 		n.failed[a.Reason]++
-	case PutInForce:
+	case StateChanged:
 		n.step(Peers{List: n.sim.livePeers(n)})
 	}
 }
@@ -300,7 +300,7 @@
 	}
 	request := &pb.ConfigPull{Id: a.ID, After: a.After, AfterName: a.AfterName, Held: a.Held}
 	n.sim.send(n, to, proto.Size(request), func() {
-		to.step(Heard{Address: n.peer().Address, Revision: a.Held})
+		to.step(RevisionClaimed{Address: n.peer().Address, Revision: a.Held})
 		page := to.syncer.State().Since(a.After, a.AfterName)
 		age := to.syncer.PlatformAge(n.sim.now)
 		n.sim.send(to, n, pageSize(page), func() {
@@ -366,7 +366,7 @@
 
 func (n *simVM) failRead(life int, reason FailureReason) {
 	if n.up && n.generation == life {
-		n.step(Failed{Reason: reason})
+		n.step(ReadFailed{Reason: reason})
 	}
 }
 
@@ -403,7 +403,7 @@
 	}
 	s.after(simPlatformDelay, func() {
 		if w.vm.up && w.vm.generation == w.generation {
-			w.vm.step(Answered{Page: page})
+			w.vm.step(ReadCompleted{Page: page})
 		}
 	})
 }
--- a/internal/config/syncer.go
+++ b/internal/config/syncer.go
@@ -127,7 +127,7 @@
 		s.tick()
 	case Peers:
 		s.setPeers(e.List)
-	case Heard:
+	case RevisionClaimed:
 		s.handleClaim(e.Address, e.Revision)
 	case Pulled:
 		s.handlePulled(e)
@@ -137,9 +137,9 @@
 		s.mergePage(e.Page)
 		s.repairIfDigestDiffers(e.Address, e.Page)
 		s.handleClaim(e.Address, e.Page.Revision)
-	case Answered:
+	case ReadCompleted:
 		s.handleAnswered(e.Page)
-	case Failed:
+	case ReadFailed:
 		s.handleFailed(e.Reason)
 	}
 	s.advanceStart()
@@ -168,7 +168,7 @@
 	if !moved && len(news) == 0 {
 		return nil
 	}
-	s.emit(PutInForce{})
+	s.emit(StateChanged{})
 	switch {
 	case !s.reader || !s.start.done:
 	case moved:
@@ -313,7 +313,7 @@
 	}
 	p.openRead, p.attempted, p.reason = nil, true, reason
 	p.failures++
-	s.emit(CountFailure{reason})
+	s.emit(CountReadFailure{reason})
 	most := maxBackoff
 	if s.reader || s.state.Revision() == 0 {
 		most = maxReaderBackoff
--- a/internal/config/syncer_test.go
+++ b/internal/config/syncer_test.go
@@ -316,7 +316,7 @@
 	s := newStartedSim(t, 10, 1)
 	n := s.vms[3]
 	messages := s.messages
-	n.step(Heard{Address: s.vms[4].peer().Address, Revision: 1 << 60})
+	n.step(RevisionClaimed{Address: s.vms[4].peer().Address, Revision: 1 << 60})
 	s.run(time.Second)
 	if n.counted[PullFellShort] != 1 || s.messages-messages > 20 {
 		t.Errorf("counted %v, %d messages", n.counted, s.messages-messages)
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -88,7 +88,7 @@
 // one held here.
 func (d *Daemon) noteRevision(peerAddress string, revision uint64) {
 	if revision > d.config.status.Load().revision {
-		d.config.post(config.Heard{Address: peerAddress, Revision: revision})
+		d.config.post(config.RevisionClaimed{Address: peerAddress, Revision: revision})
 	}
 }
 
@@ -152,11 +152,11 @@
 			c.pull(a)
 		case config.Push:
 			c.push(a)
-		case config.PutInForce:
+		case config.StateChanged:
 			inForce = true
-		case config.Count:
+		case config.CountPull:
 			c.metrics.pulls.WithLabelValues(string(a.Event)).Inc()
-		case config.CountFailure:
+		case config.CountReadFailure:
 			c.metrics.failures.WithLabelValues(string(a.Reason)).Inc()
 		}
 	}
@@ -263,11 +263,11 @@
 func (c *configSync) read(read config.Read) config.Event {
 	page, err := c.platform.Changes(read.After, read.Wait)
 	if err == nil {
-		return config.Answered{Page: page}
+		return config.ReadCompleted{Page: page}
 	}
 	reason := platform.ReasonOf(err)
 	c.log.Warn("config: read of the platform failed", zap.Error(err))
-	return config.Failed{Reason: reason}
+	return config.ReadFailed{Reason: reason}
 }
 
 // pull requests documents from a peer.
@@ -425,7 +425,7 @@
 	for _, reason := range config.FailureReasons {
 		m.failures.WithLabelValues(string(reason))
 	}
-	for _, event := range config.CountedEvents {
+	for _, event := range config.PullEvents {
 		m.pulls.WithLabelValues(string(event))
 	}
 	return m
