--- a/cmd/sycamorekeel-edge/main.go
+++ b/cmd/sycamorekeel-edge/main.go
@@ -62,7 +62,7 @@
 	if f.Settings != "" {
 		env = environment{
 			func() (*node.Settings, error) { return standalone.LoadSettings(f.Settings) },
-			func(set *node.Settings, _ *traffic.Meter) node.Adapter { return standalone.Adapter(set) },
+			func(set *node.Settings, _ *traffic.Meter) node.Adapter { return standalone.NewAdapter(set) },
 		}
 	}
 	load := env.load
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -37,9 +37,9 @@
 	once  sync.Once
 }
 
-// Halt ends the waits of a planned stop and cuts off the requests in flight. It may
+// AbortStop ends the waits of a planned stop and cuts off the requests in flight. It may
 // be called more than once.
-func (d *Daemon) Halt() {
+func (d *Daemon) AbortStop() {
 	d.stops.once.Do(func() { close(d.stops.halt) })
 }
 
--- a/internal/fleet/crash.go
+++ b/internal/fleet/crash.go
@@ -17,7 +17,7 @@
 func (v *VM) Kill() {
 	v.tracker.kill()
 	v.listeners.close()
-	v.Daemon.Halt()
+	v.Daemon.AbortStop()
 	v.cancel()
 }
 
--- a/internal/fleet/crash_test.go
+++ b/internal/fleet/crash_test.go
@@ -153,7 +153,7 @@
 	const starts = 5
 	for range starts {
 		g.Expect(f.Restart(0, true)).To(Succeed())
-		f.VMs[0].Daemon.Halt()
+		f.VMs[0].Daemon.AbortStop()
 		done := make(chan error, 1)
 		go func() { done <- f.VMs[0].Stop() }()
 		g.Eventually(done).WithTimeout(time.Minute).Should(Receive(BeNil()))
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -281,7 +281,7 @@
 
 // StopNow stops the daemon without waiting for callers to switch to other VMs.
 func (v *VM) StopNow() error {
-	v.Daemon.Halt()
+	v.Daemon.AbortStop()
 	return v.Stop()
 }
 
@@ -346,7 +346,7 @@
 	f.Heal()
 	var wg sync.WaitGroup
 	for _, vm := range slices.Concat(f.VMs, f.replaced) {
-		vm.Daemon.Halt()
+		vm.Daemon.AbortStop()
 		wg.Go(func() { _ = vm.Stop() })
 	}
 	wg.Wait()
--- a/internal/standalone/adapter.go
+++ b/internal/standalone/adapter.go
@@ -18,9 +18,9 @@
 	pathDirectory = "/v1/vms"
 )
 
-// Adapter returns the adapter that connects a node to the project's own store,
+// NewAdapter returns the adapter that connects a node to the project's own store,
 // wire format and HTTP endpoints.
-func Adapter(set *node.Settings) node.Adapter {
+func NewAdapter(set *node.Settings) node.Adapter {
 	return node.Adapter{
 		Store:     NewFileStore(set.StoreAddress),
 		Decoder:   ItemDecoder{},
--- a/internal/standalone/standalone_test.go
+++ b/internal/standalone/standalone_test.go
@@ -130,7 +130,7 @@
 	ended := make(chan error, 1)
 	n := node.New(set, node.Options{
 		Traffic: &traffic.Meter{},
-		Logs:    logring.Nop(), Registry: prometheus.NewRegistry(), Adapter: Adapter(set),
+		Logs:    logring.Nop(), Registry: prometheus.NewRegistry(), Adapter: NewAdapter(set),
 		Reload: node.ReloadOptions{Load: func() (*node.Settings, error) { return set, nil }},
 	})
 	go func() { ended <- n.Run(ctx) }()
