--- a/internal/callerapi/callerapi_test.go
+++ b/internal/callerapi/callerapi_test.go
@@ -95,7 +95,7 @@
 	snap      *contract.Snapshot
 	notReady  string
 	stopping  bool
-	fate      frontend.Fate
+	fate      frontend.ForwardOutcome
 	mu        sync.Mutex
 	admission *admission.Controller
 }
@@ -126,7 +126,7 @@
 func (w *fakeDaemon) Pin(_ time.Time, s *contract.Service) (*contract.ShardMap, *pb.Snapshot, bool) {
 	return s.Maps[0], &pb.Snapshot{Generation: 1, Version: 1}, true
 }
-func (w *fakeDaemon) Forward(context.Context, *contract.Kind, *frontend.Request, *once.Key) (*frontend.Reply, frontend.Fate) {
+func (w *fakeDaemon) Forward(context.Context, *contract.Kind, *frontend.Request, *once.Key) (*frontend.Reply, frontend.ForwardOutcome) {
 	return nil, w.fate
 }
 
@@ -408,7 +408,7 @@
 	// resends it to this VM, which cannot reach the other one or refuses the copy for
 	// a local reason, and the refusal considers only this copy.
 	DescribeTable("never says \"not run\" for a key of another VM",
-		func(fate frontend.Fate, edit func(*fakeDaemon), kind string, reason refusal.Reason) {
+		func(fate frontend.ForwardOutcome, edit func(*fakeDaemon), kind string, reason refusal.Reason) {
 			key := b.lease().Prefix + ".1"
 			other := start(2)
 			other.fate = fate
@@ -419,12 +419,12 @@
 			Expect(r.err().Operation).To(Equal(key))
 			Expect(other.shards.runs).To(BeEmpty())
 		},
-		Entry("gone", frontend.FateGone, func(*fakeDaemon) {}, "pay", refusal.OutcomeUnknown),
-		Entry("lost", frontend.FateLost, func(*fakeDaemon) {}, "pay", refusal.OutcomeUnknown),
-		Entry("not sent", frontend.FateNotSent, func(*fakeDaemon) {}, "pay", refusal.OperationAway),
-		Entry("not ready", frontend.FateGone, func(w *fakeDaemon) { w.notReady = "no configuration" }, "pay", refusal.NotReady),
-		Entry("unknown kind", frontend.FateGone, func(*fakeDaemon) {}, "nothing", refusal.UnknownKind),
-		Entry("unauthenticated", frontend.FateGone, func(w *fakeDaemon) { w.snap = contract.Compile(2, nil) }, "pay", refusal.Unauthenticated),
+		Entry("gone", frontend.ForwardTargetGone, func(*fakeDaemon) {}, "pay", refusal.OutcomeUnknown),
+		Entry("lost", frontend.ForwardReplyLost, func(*fakeDaemon) {}, "pay", refusal.OutcomeUnknown),
+		Entry("not sent", frontend.ForwardNotSent, func(*fakeDaemon) {}, "pay", refusal.OperationAway),
+		Entry("not ready", frontend.ForwardTargetGone, func(w *fakeDaemon) { w.notReady = "no configuration" }, "pay", refusal.NotReady),
+		Entry("unknown kind", frontend.ForwardTargetGone, func(*fakeDaemon) {}, "nothing", refusal.UnknownKind),
+		Entry("unauthenticated", frontend.ForwardTargetGone, func(w *fakeDaemon) { w.snap = contract.Compile(2, nil) }, "pay", refusal.Unauthenticated),
 	)
 
 	// Guards against reporting an expired lease as "not run" after its outcomes were
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -178,15 +178,15 @@
 func (d *Daemon) wireInterfaces() error {
 	ring := explain.NewRing(explainRingSize)
 	d.front = frontend.New(frontend.Options{
-		Log:       d.log,
-		Registry:  d.registry,
-		Engine:    d.engine,
-		Admission: d.shares,
-		Pinner:    d.router,
-		Explain:   ring,
-		Poison:    d.poison,
-		Now:       time.Now,
-		Unbounded: d.settings.Routing == pb.Routing_DIRECT,
+		Log:                d.log,
+		Registry:           d.registry,
+		Engine:             d.engine,
+		Admission:          d.shares,
+		Pinner:             d.router,
+		Explain:            ring,
+		Poison:             d.poison,
+		Now:                time.Now,
+		NoConcurrencyLimit: d.settings.Routing == pb.Routing_DIRECT,
 	})
 	d.forwarder = newForwarder(d)
 	d.operations = d.newOperations()
--- a/internal/daemon/forward.go
+++ b/internal/daemon/forward.go
@@ -58,7 +58,7 @@
 // forwardResult is the outcome of one forward.
 type forwardResult struct {
 	reply *frontend.Reply
-	fate  frontend.Fate
+	fate  frontend.ForwardOutcome
 }
 
 func newForwarder(d *Daemon) *forwarder {
@@ -84,10 +84,10 @@
 
 // Forward sends the request once to the VM that its key names and waits for the reply
 // until ctx ends. The reply is nil unless the fate is FateAnswered.
-func (f *forwarder) Forward(ctx context.Context, k *contract.Kind, req *frontend.Request, key *once.Key) (*frontend.Reply, frontend.Fate) {
+func (f *forwarder) Forward(ctx context.Context, k *contract.Kind, req *frontend.Request, key *once.Key) (*frontend.Reply, frontend.ForwardOutcome) {
 	m, ok := f.d.view.Load().Find(key.VM)
 	if !ok || key.VM == f.d.settings.Vm || m.State == pb.MemberState_DEAD || m.Incarnation > key.Incarnation {
-		return nil, frontend.FateGone
+		return nil, frontend.ForwardTargetGone
 	}
 	deadline, _ := ctx.Deadline()
 	id := f.serial.Add(1) | forwardIDBit
@@ -102,13 +102,13 @@
 		Body:        req.Body,
 	}}})
 	if !sent {
-		return nil, frontend.FateNotSent
+		return nil, frontend.ForwardNotSent
 	}
 	select {
 	case r := <-result:
 		return r.reply, r.fate
 	case <-ctx.Done():
-		return nil, frontend.FateLost
+		return nil, frontend.ForwardReplyLost
 	}
 }
 
@@ -140,7 +140,7 @@
 
 // handleReply handles a peer's reply to a forward.
 func (f *forwarder) handleReply(r *pb.ForwardReply) {
-	f.deliver(r.Id, forwardResult{fate: frontend.FateAnswered, reply: &frontend.Reply{
+	f.deliver(r.Id, forwardResult{fate: frontend.ForwardAnswered, reply: &frontend.Reply{
 		Status:     int(r.Status),
 		RequestID:  r.RequestId,
 		RetryAfter: time.Duration(r.RetryAfterMs) * time.Millisecond,
@@ -151,9 +151,9 @@
 // handleLost handles the loss of the stream on which a reply was due. written reports whether
 // the request may have reached the peer.
 func (f *forwarder) handleLost(r *pb.Forward, written bool) {
-	fate := frontend.FateNotSent
+	fate := frontend.ForwardNotSent
 	if written {
-		fate = frontend.FateLost
+		fate = frontend.ForwardReplyLost
 	}
 	f.deliver(r.Id, forwardResult{fate: fate})
 }
@@ -210,7 +210,7 @@
 		Operation: r.Operation,
 		Deadline:  time.Duration(max(1, r.RemainingUs)) * time.Microsecond,
 	}
-	return f.d.operations.Local(f.ctx, k, req, key), true
+	return f.d.operations.ServeLocal(f.ctx, k, req, key), true
 }
 
 // lookupKind returns the request's kind from this VM's configuration, or nil if the kind is
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -113,8 +113,8 @@
 	// Poison blocks requests that crash upstreams.
 	Poison *poison.Guard
 	Now    func() time.Time
-	// Unbounded disables the per-service concurrency limit; baseline runs use it.
-	Unbounded bool
+	// NoConcurrencyLimit disables the per-service concurrency limit; baseline runs use it.
+	NoConcurrencyLimit bool
 }
 
 // Frontend executes queries for authenticated customers. It is safe for
--- a/internal/frontend/operations.go
+++ b/internal/frontend/operations.go
@@ -33,25 +33,25 @@
 	retryDelay = time.Second
 )
 
-// Fate is the outcome of a forwarded request.
-type Fate string
+// ForwardOutcome is the outcome of a forwarded request.
+type ForwardOutcome string
 
 // Outcomes of a forwarded request.
 const (
-	// FateAnswered means that the target VM replied.
-	FateAnswered Fate = "answered"
-	// FateNotSent means that no byte of the request left this VM.
-	FateNotSent Fate = "not_sent"
-	// FateGone means that this VM considers the target incarnation ended.
-	FateGone Fate = "gone"
-	// FateLost means that the request was sent and no reply arrived.
-	FateLost Fate = "lost"
+	// ForwardAnswered means that the target VM replied.
+	ForwardAnswered ForwardOutcome = "answered"
+	// ForwardNotSent means that no byte of the request left this VM.
+	ForwardNotSent ForwardOutcome = "not_sent"
+	// ForwardTargetGone means that this VM considers the target incarnation ended.
+	ForwardTargetGone ForwardOutcome = "gone"
+	// ForwardReplyLost means that the request was sent and no reply arrived.
+	ForwardReplyLost ForwardOutcome = "lost"
 )
 
 // Forwarder sends a request to the VM named by its key, without retries.
 type Forwarder interface {
 	// Forward returns a non-nil reply only with FateAnswered.
-	Forward(ctx context.Context, k *contract.Kind, req *Request, key *once.Key) (*Reply, Fate)
+	Forward(ctx context.Context, k *contract.Kind, req *Request, key *once.Key) (*Reply, ForwardOutcome)
 }
 
 // OperationsOptions configures Operations.
@@ -142,7 +142,7 @@
 	if !o.isLocal(key) {
 		return o.forward(ctx, k, req, key)
 	}
-	return o.Local(ctx, k, req, key)
+	return o.ServeLocal(ctx, k, req, key)
 }
 
 // key parses the caller's key, or issues one and stores it in req.
@@ -163,9 +163,9 @@
 	return o.table.IssuedBySelf(&key.Lease)
 }
 
-// Local executes a request whose key names this VM, received from a caller or
+// ServeLocal executes a request whose key names this VM, received from a caller or
 // from another VM. It never forwards.
-func (o *Operations) Local(ctx context.Context, k *contract.Kind, req *Request, key *once.Key) *Reply {
+func (o *Operations) ServeLocal(ctx context.Context, k *contract.Kind, req *Request, key *once.Key) *Reply {
 	if !o.isLocal(key) {
 		return o.refuse(req, errGone())
 	}
@@ -276,12 +276,12 @@
 	reply, fate := o.opts.Forwarder.Forward(ctx, k, req, key)
 	o.forwards.WithLabelValues(string(fate)).Inc()
 	switch fate {
-	case FateAnswered:
+	case ForwardAnswered:
 		return reply
-	case FateNotSent:
+	case ForwardNotSent:
 		e := &refusal.Error{Reason: refusal.OperationAway, Ran: refusal.Unknown, Detail: "the VM that the key names cannot be reached from here; this copy was not run, send the same key again"}
 		return o.refuse(req, e.WithRetryAfter(retryDelay))
-	case FateGone:
+	case ForwardTargetGone:
 		return o.refuse(req, errGone())
 	default:
 		e := &refusal.Error{Reason: refusal.OutcomeUnknown, Ran: refusal.Unknown, Detail: "the VM that the key names took the request and did not answer; send the same key to learn the outcome"}
--- a/internal/frontend/scatter.go
+++ b/internal/frontend/scatter.go
@@ -15,7 +15,7 @@
 
 // startScatter starts a query, or refuses it while its service is congested.
 func (f *Frontend) startScatter(k *contract.Kind) *refusal.Error {
-	if f.opts.Unbounded {
+	if f.opts.NoConcurrencyLimit {
 		return nil
 	}
 	f.mu.Lock()
@@ -34,7 +34,7 @@
 // endScatter reports the outcome of a query to the service's limiter; o is nil if
 // the query was abandoned.
 func (f *Frontend) endScatter(k *contract.Kind, started time.Time, o *query.Outcome) {
-	if f.opts.Unbounded {
+	if f.opts.NoConcurrencyLimit {
 		return
 	}
 	now := f.opts.Now()
