--- a/internal/config/events.go
+++ b/internal/config/events.go
@@ -80,7 +80,7 @@
 
 // Read requests the changes above revision After from the platform, which waits
 // up to Wait for the first one. At most one Read is open at a time; it ends with
-// ReadCompleted or Failed.
+// ReadCompleted or ReadFailed.
 type Read struct {
 	After uint64
 	Wait  time.Duration
@@ -118,7 +118,7 @@
 // CountReadFailure increments the metric of failed reads.
 type CountReadFailure struct{ Reason FailureReason }
 
-// PullEvent is the kind of pull event in a Count.
+// PullEvent is the kind of pull event in a CountPull.
 type PullEvent string
 
 // The pull events, spelled as in metrics.
--- a/internal/daemon/forward.go
+++ b/internal/daemon/forward.go
@@ -83,7 +83,7 @@
 }
 
 // Forward sends the request once to the VM that its key names and waits for the reply
-// until ctx ends. The reply is nil unless the fate is FateAnswered.
+// until ctx ends. The reply is nil unless the outcome is ForwardAnswered.
 func (f *forwarder) Forward(ctx context.Context, k *contract.Kind, req *frontend.Request, key *once.Key) (*frontend.Reply, frontend.ForwardOutcome) {
 	m, ok := f.d.view.Load().Find(key.VM)
 	if !ok || key.VM == f.d.settings.Vm || m.State == pb.MemberState_DEAD || m.Incarnation > key.Incarnation {
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -97,7 +97,7 @@
 	d.log.Info("daemon: this VM is no longer advertised to callers", zap.Duration("after", time.Since(start)))
 }
 
-// wait blocks until t has passed, done returns true or Halt is called.
+// wait blocks until t has passed, done returns true or AbortStop is called.
 func (d *Daemon) wait(t time.Duration, done func() bool) {
 	end := time.Now().Add(t)
 	for time.Now().Before(end) && !done() {
--- a/internal/direct/pools.go
+++ b/internal/direct/pools.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// ConnectionOpened returns how many connections the current pools, those of the current processes of
+// Opened returns how many connections the current pools, those of the current processes of
 // known upstreams, have opened so far. Failed dials count.
 func (p *Pools) Opened() uint64 {
 	var n uint64
--- a/internal/follow/pull.go
+++ b/internal/follow/pull.go
@@ -40,7 +40,7 @@
 	confirmedAt time.Time
 }
 
-// Unconfirmed is the age to pass to Heard when the peer reports no confirmation.
+// Unconfirmed is the age to pass to PeerAnnounced when the peer reports no confirmation.
 const Unconfirmed time.Duration = -1
 
 // PeerAnnounced handles a peer's announcement of its position and of the time since the store last
--- a/internal/frontend/operations.go
+++ b/internal/frontend/operations.go
@@ -50,7 +50,7 @@
 
 // Forwarder sends a request to the VM named by its key, without retries.
 type Forwarder interface {
-	// Forward returns a non-nil reply only with FateAnswered.
+	// Forward returns a non-nil reply only with ForwardAnswered.
 	Forward(ctx context.Context, k *contract.Kind, req *Request, key *once.Key) (*Reply, ForwardOutcome)
 }
 
--- a/internal/frontend/witness.go
+++ b/internal/frontend/witness.go
@@ -19,9 +19,9 @@
 // suspect to end.
 const heldRetry = time.Second
 
-// witness reports to the guard whether upstreams crash while they run one request.
+// crashGuard reports to the guard whether upstreams crash while they run one request.
 // It implements query.CrashGuard.
-type witness struct {
+type crashGuard struct {
 	guard   *poison.Guard
 	subject func() poison.Request
 	// trial is set if the request is suspected of crashing upstreams.
@@ -31,10 +31,10 @@
 	ended, survived atomic.Bool
 }
 
-// witness returns the request's witness. It refuses a request that is known to crash
+// crashGuard returns the request's witness. It refuses a request that is known to crash
 // upstreams, and a suspect request while other copies are on trial.
-func (x *execution) witness() (*witness, *refusal.Error) {
-	out := &witness{guard: x.front.opts.Poison, subject: x.subject}
+func (x *execution) witness() (*crashGuard, *refusal.Error) {
+	out := &crashGuard{guard: x.front.opts.Poison, subject: x.subject}
 	if out.guard.Empty() {
 		return out, nil
 	}
@@ -59,7 +59,7 @@
 }
 
 // RecordCrash implements query.CrashGuard.
-func (w *witness) RecordCrash(u *contract.Upstream, sentAt, endedAt time.Time) {
+func (w *crashGuard) RecordCrash(u *contract.Upstream, sentAt, endedAt time.Time) {
 	w.ended.Store(true)
 	if w.survived.Load() {
 		return
@@ -68,7 +68,7 @@
 }
 
 // RecordSurvival implements query.CrashGuard.
-func (w *witness) RecordSurvival(now time.Time) {
+func (w *crashGuard) RecordSurvival(now time.Time) {
 	if w.survived.Swap(true) {
 		return
 	}
@@ -76,13 +76,13 @@
 }
 
 // Blocked implements query.CrashGuard.
-func (w *witness) Blocked(now time.Time) bool {
+func (w *crashGuard) Blocked(now time.Time) bool {
 	return !w.guard.Empty() && w.guard.Blocked(now, w.subject().Content)
 }
 
 // close ends the request. If an upstream ended and none completed the request, the
 // guard shares its record with peers.
-func (w *witness) close() {
+func (w *crashGuard) close() {
 	if w.ended.Load() && !w.survived.Load() {
 		w.guard.Unanswered(w.subject().Content)
 	}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -87,7 +87,7 @@
 	// conn is nil until Run; datagrams sent earlier are dropped.
 	conn atomic.Pointer[net.PacketConn]
 	// lastTick is the time of the node's last tick; inDoubt caches
-	// node.InDoubt as of that tick.
+	// node.Revalidating as of that tick.
 	lastTick atomic.Pointer[time.Time]
 	inDoubt  atomic.Bool
 
@@ -232,7 +232,7 @@
 }
 
 // advance ticks the node. The caller holds mu. It stores inDoubt before
-// lastTick: in the other order InDoubt could miss a pause between the two
+// lastTick: in the other order Revalidating could miss a pause between the two
 // stores.
 func (d *Driver) advance(now time.Time) membership.Actions {
 	act := d.node.Tick(now)
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -180,7 +180,7 @@
 }
 
 // ProbeDue reports whether to send a probe now. If so, the probe counts as in
-// flight until Probed or ProbeSkipped is called.
+// flight until ProbeFinished or ProbeSkipped is called.
 func (m *Monitor) ProbeDue(now time.Time) bool {
 	if m.probeInFlight || now.Before(m.nextProbeAt) {
 		return false
--- a/internal/membership/network_test.go
+++ b/internal/membership/network_test.go
@@ -198,7 +198,7 @@
 	for _, d := range inbox {
 		copied := proto.CloneOf(d)
 		w.do(p, func(n *membership.Node) membership.Actions {
-			// The driver passes datagrams of replaced processes to Outdated.
+			// The driver passes datagrams of replaced processes to ReplyToOutdated.
 			if n.Rank(d.Sender.Vm).Incarnation > d.Sender.Incarnation {
 				return n.ReplyToOutdated(w.now, copied.Sender)
 			}
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -99,7 +99,7 @@
 	// Revalidate reports that this node was paused. Its view may be out of date, so
 	// no new work may start until Revalidated.
 	Revalidate bool
-	// Revalidated reports the end of the revalidation; Alone reports that no member
+	// Revalidated reports the end of the revalidation; NoPeerAnswered reports that no member
 	// answered during it.
 	Revalidated    bool
 	NoPeerAnswered bool
--- a/internal/once/table.go
+++ b/internal/once/table.go
@@ -77,7 +77,7 @@
 // Decision is the result of Begin.
 type Decision[O Outcome] struct {
 	Verdict Verdict
-	// Outcome is set if Verdict is Known.
+	// Outcome is set if Verdict is Decided.
 	Outcome O
 }
 
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -146,7 +146,7 @@
 }
 
 // tier returns the preference of a VM for the caller: 0 for VMs in its region, 1 for VMs in
-// other regions, 2 for VMs with StrainedCapacity in any region. Data centres of a region are
+// other regions, 2 for VMs with DegradedCapacity in any region. Data centres of a region are
 // in the same tier.
 func tier(m *membership.Member, c Caller) int {
 	switch {
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -1,6 +1,6 @@
 // Package poison runs a quarantine.Table for one VM. It guards the table with a lock, logs and
 // counts changes, makes attempts of suspects wait for their trial, and sends entries to peers.
-// Snapshot decisions are in package quarantine.
+// All decisions are in package quarantine.
 //
 // Lock order: Guard.mu is a leaf; no other lock is acquired while it is held.
 package poison
--- a/internal/query/engine_test.go
+++ b/internal/query/engine_test.go
@@ -79,10 +79,10 @@
 	defer goleak.VerifyNone(t)
 	w := &recordingSender{sent: make(chan *pb.SubRequest, 10)}
 	c := &fakeClock{now: time.Unix(1000, 0)}
-	e := NewEngine(EngineOptions{Policy: permissiveFleet{}, Sender: w, Loops: 1, Now: c.Now, Metrics: NewMetrics(prometheus.NewRegistry())})
+	e := NewEngine(EngineOptions{Policy: permissivePolicy{}, Sender: w, Loops: 1, Now: c.Now, Metrics: NewMetrics(prometheus.NewRegistry())})
 	l := e.loops[0]
 	h := newHarness(t, newShardMap(1, 3, 1), func(k *pb.Kind) { k.HedgePercent = 0 })
-	run := newRunningQuery(New(h.plan, permissiveFleet{}), h.plan)
+	run := newRunningQuery(New(h.plan, permissivePolicy{}), h.plan)
 	l.post(event{start: run})
 	l.drain(nil)
 	c.advance(time.Hour)
@@ -106,7 +106,7 @@
 	w := &recordingSender{sent: make(chan *pb.SubRequest, 10)}
 	c := &fakeClock{now: time.Unix(1000, 0)}
 	reg := prometheus.NewRegistry()
-	e := NewEngine(EngineOptions{Policy: permissiveFleet{}, Sender: w, Loops: 1, Now: c.Now, Metrics: NewMetrics(reg)})
+	e := NewEngine(EngineOptions{Policy: permissivePolicy{}, Sender: w, Loops: 1, Now: c.Now, Metrics: NewMetrics(reg)})
 	ctx, cancel := context.WithCancel(context.Background())
 	e.Start(ctx)
 	h := newHarness(t, newShardMap(1, 1, 2), nil)
@@ -147,7 +147,7 @@
 func TestAbandonedQueryIsCancelled(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	w := &recordingSender{sent: make(chan *pb.SubRequest, 10)}
-	e := NewEngine(EngineOptions{Policy: permissiveFleet{}, Sender: w, Loops: 1, Now: time.Now, Metrics: NewMetrics(prometheus.NewRegistry())})
+	e := NewEngine(EngineOptions{Policy: permissivePolicy{}, Sender: w, Loops: 1, Now: time.Now, Metrics: NewMetrics(prometheus.NewRegistry())})
 	ctx, cancel := context.WithCancel(context.Background())
 	e.Start(ctx)
 	h := newHarness(t, newShardMap(1, 3, 1), nil)
--- a/internal/query/harness_test.go
+++ b/internal/query/harness_test.go
@@ -17,7 +17,7 @@
 	v8 = &pb.Snapshot{Generation: 1, Version: 8}
 )
 
-// harness drives one query step by step. It is also the query's Fleet: it picks
+// harness drives one query step by step. It is also the query's UpstreamPolicy: it picks
 // replicas in order, skipping the unavailable ones.
 type harness struct {
 	t       *testing.T
--- a/internal/query/isolation.go
+++ b/internal/query/isolation.go
@@ -16,10 +16,10 @@
 	switch {
 	case r.Result == pb.Result_OK || r.Result == pb.Result_UPSTREAM_ERROR:
 		q.isolation.Survived()
-		q.witness.RecordSurvival(now)
+		q.crashGuard.RecordSurvival(now)
 	case r.UpstreamEnded:
 		q.isolation.Crashed(a.isolated)
-		q.witness.RecordCrash(a.upstream, q.started.Add(a.sentAt), now)
+		q.crashGuard.RecordCrash(a.upstream, q.started.Add(a.sentAt), now)
 	case r.Result == pb.Result_SHED || r.Result == pb.Result_UPSTREAM_LEAVING || r.Result == pb.Result_NO_SNAPSHOT:
 		q.isolation.Refused(a.isolated)
 	case !provesNotRun(r.Result):
@@ -32,14 +32,14 @@
 // asking the witness, because the caller of the query has already checked.
 func (q *Query) mustHold(now time.Time, cause Cause) bool {
 	if !q.isolation.Active() {
-		return cause != First && q.witness.Blocked(now)
+		return cause != First && q.crashGuard.Blocked(now)
 	}
 	return q.sendingStopped(now) || q.hasOpenAttempt()
 }
 
 // sendingStopped reports whether the request must no longer be sent to any upstream.
 func (q *Query) sendingStopped(now time.Time) bool {
-	return q.isolation.Exhausted() || q.witness.Blocked(now)
+	return q.isolation.Exhausted() || q.crashGuard.Blocked(now)
 }
 
 // holdAttempt schedules a held attempt to be checked again. It returns false if sending
--- a/internal/query/isolation_test.go
+++ b/internal/query/isolation_test.go
@@ -8,25 +8,25 @@
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
-// fakeWitness records the calls to it.
-type fakeWitness struct {
+// fakeCrashGuard records the calls to it.
+type fakeCrashGuard struct {
 	ended    []string
 	survived int
 	blocked  bool
 }
 
-func (w *fakeWitness) RecordCrash(u *contract.Upstream, _, _ time.Time) {
+func (w *fakeCrashGuard) RecordCrash(u *contract.Upstream, _, _ time.Time) {
 	w.ended = append(w.ended, u.ID)
 }
-func (w *fakeWitness) RecordSurvival(time.Time) { w.survived++ }
-func (w *fakeWitness) Blocked(time.Time) bool   { return w.blocked }
+func (w *fakeCrashGuard) RecordSurvival(time.Time) { w.survived++ }
+func (w *fakeCrashGuard) Blocked(time.Time) bool   { return w.blocked }
 
 // newIsolationHarness returns a harness whose budgets allow any number of retries.
-func newIsolationHarness(t *testing.T, shards int, trial bool) (*harness, *fakeWitness) {
+func newIsolationHarness(t *testing.T, shards int, trial bool) (*harness, *fakeCrashGuard) {
 	h := newHarness(t, newShardMap(1, shards, 3), nil)
 	h.hedge.Earn(1000)
 	h.retry.Earn(1000)
-	w := &fakeWitness{}
+	w := &fakeCrashGuard{}
 	h.plan.Trial, h.plan.CrashGuard = trial, w
 	h.query = New(h.plan, h)
 	return h.start(), w
--- a/internal/query/non_idempotent_test.go
+++ b/internal/query/non_idempotent_test.go
@@ -23,10 +23,10 @@
 	os.Exit(m.Run())
 }
 
-// permissiveFleet picks the replicas in turn and allows every hedge and retry.
-type permissiveFleet struct{}
+// permissivePolicy picks the replicas in turn and allows every hedge and retry.
+type permissivePolicy struct{}
 
-func (permissiveFleet) PickReplica(_ time.Time, w ReplicaRequest) int {
+func (permissivePolicy) PickReplica(_ time.Time, w ReplicaRequest) int {
 	for i := range w.Shard.Replicas {
 		if w.Tried&(1<<i) == 0 {
 			return i
@@ -34,15 +34,15 @@
 	}
 	return NoReplica
 }
-func (permissiveFleet) RecordSend(time.Time, *contract.Upstream) {}
-func (permissiveFleet) Observe(time.Time, Observation)           {}
-func (permissiveFleet) Earn(*contract.Kind, int)                 {}
-func (permissiveFleet) Spend(*contract.Kind, Cause) bool         { return true }
-func (permissiveFleet) Repin(time.Time, *contract.Service, *pb.Snapshot) (*contract.ShardMap, *pb.Snapshot, bool) {
+func (permissivePolicy) RecordSend(time.Time, *contract.Upstream) {}
+func (permissivePolicy) Observe(time.Time, Observation)           {}
+func (permissivePolicy) Earn(*contract.Kind, int)                 {}
+func (permissivePolicy) Spend(*contract.Kind, Cause) bool         { return true }
+func (permissivePolicy) Repin(time.Time, *contract.Service, *pb.Snapshot) (*contract.ShardMap, *pb.Snapshot, bool) {
 	m := nonIdempotentPlan(time.Time{}).Map
 	return m, &pb.Snapshot{Generation: 1, Version: 2}, true
 }
-func (permissiveFleet) HedgeDelay(time.Time, *contract.Kind, *contract.Shard, int) (time.Duration, bool) {
+func (permissivePolicy) HedgeDelay(time.Time, *contract.Kind, *contract.Shard, int) (time.Duration, bool) {
 	return time.Millisecond, true
 }
 
@@ -117,7 +117,7 @@
 func TestResendsOnlyAfterProofOfNotRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		c := &queryTracker{query: New(nonIdempotentPlan(now), permissiveFleet{}), results: map[AttemptID]pb.Result{}, open: map[AttemptID]bool{}}
+		c := &queryTracker{query: New(nonIdempotentPlan(now), permissivePolicy{}), results: map[AttemptID]pb.Result{}, open: map[AttemptID]bool{}}
 		c.take(t, c.query.Start(now))
 		for c.outcome == nil {
 			now = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(t, "ms")) * time.Millisecond)
@@ -173,7 +173,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			start := time.Unix(1000, 0)
 			plan := nonIdempotentPlan(start)
-			q := New(plan, permissiveFleet{})
+			q := New(plan, permissivePolicy{})
 			q.Start(start)
 			actions := q.Wake(plan.Deadline)
 			if len(actions) != 1 {
@@ -198,7 +198,7 @@
 	}
 	t.Run("no confirmation", func(t *testing.T) {
 		plan := nonIdempotentPlan(time.Unix(1000, 0))
-		q := New(plan, permissiveFleet{})
+		q := New(plan, permissivePolicy{})
 		q.Start(time.Unix(1000, 0))
 		q.Wake(plan.Deadline)
 		actions := q.Wake(plan.ConfirmBy)
--- a/internal/query/outcome.go
+++ b/internal/query/outcome.go
@@ -15,7 +15,7 @@
 	// Covered is the number of documents in the shards that answered, Total the number
 	// in all queried shards of the pinned map.
 	Covered, Total uint64
-	// Ran is set if some sub-request ran, Unsure if some sub-request may have run.
+	// Ran is set if some sub-request ran, MayHaveRun if some sub-request may have run.
 	Ran, MayHaveRun bool
 	// TimedOut is set if a shard is missing because of the deadline.
 	TimedOut bool
--- a/internal/query/plan.go
+++ b/internal/query/plan.go
@@ -54,12 +54,12 @@
 	Blocked(now time.Time) bool
 }
 
-// nopWitness is a Witness that records nothing.
-type nopWitness struct{}
+// nopCrashGuard is a CrashGuard that records nothing.
+type nopCrashGuard struct{}
 
-func (nopWitness) RecordCrash(*contract.Upstream, time.Time, time.Time) {}
-func (nopWitness) RecordSurvival(time.Time)                             {}
-func (nopWitness) Blocked(time.Time) bool                               { return false }
+func (nopCrashGuard) RecordCrash(*contract.Upstream, time.Time, time.Time) {}
+func (nopCrashGuard) RecordSurvival(time.Time)                             {}
+func (nopCrashGuard) Blocked(time.Time) bool                               { return false }
 
 // shardsIn returns the shards of a map that the plan queries.
 func (p *Plan) shardsIn(m *contract.ShardMap) []*contract.Shard {
@@ -92,7 +92,7 @@
 	Repin(now time.Time, s *contract.Service, retired *pb.Snapshot) (*contract.ShardMap, *pb.Snapshot, bool)
 }
 
-// NoReplica is the index that Fleet.Replica returns if no replica can take a
+// NoReplica is the index that UpstreamPolicy.PickReplica returns if no replica can take a
 // sub-request.
 const NoReplica = -1
 
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -17,7 +17,7 @@
 // call. A Query is not safe for concurrent use.
 type Query struct {
 	plan     *Plan
-	fleet    UpstreamPolicy
+	policy   UpstreamPolicy
 	started  time.Time
 	snapshot *pb.Snapshot
 	targets  []*contract.Shard
@@ -41,7 +41,7 @@
 	restarts           []RestartRecord
 	stats              Stats
 	isolation          quarantine.Isolation
-	witness            CrashGuard
+	crashGuard         CrashGuard
 	actions            []Action
 	// buffers is the backing memory of shards, timers and actions.
 	buffers *buffers
@@ -139,9 +139,9 @@
 
 // New returns a query that has sent nothing. Start begins it.
 func New(plan *Plan, fleet UpstreamPolicy) *Query {
-	q := &Query{plan: plan, fleet: fleet, isolation: quarantine.Isolation{Trial: plan.Trial}, witness: plan.CrashGuard}
-	if q.witness == nil {
-		q.witness = nopWitness{}
+	q := &Query{plan: plan, policy: fleet, isolation: quarantine.Isolation{Trial: plan.Trial}, crashGuard: plan.CrashGuard}
+	if q.crashGuard == nil {
+		q.crashGuard = nopCrashGuard{}
 	}
 	return q
 }
@@ -191,7 +191,7 @@
 	q.timers = q.buffers.timers
 	q.actions = q.buffers.actions[:0]
 	q.pinSnapshot(q.plan.Map, q.plan.Snapshot)
-	q.fleet.Earn(q.plan.Kind, len(q.shards))
+	q.policy.Earn(q.plan.Kind, len(q.shards))
 	q.scatter(now, First)
 	q.finishIfDone(now)
 	return q.actions
@@ -230,7 +230,7 @@
 	a.took = q.elapsed(now) - a.sentAt
 	q.recordResult(r.Result)
 	q.recordForIsolation(now, a, r)
-	q.fleet.Observe(now, Observation{Upstream: a.upstream, Snapshot: q.snapshot, Took: a.took, Reply: r})
+	q.policy.Observe(now, Observation{Upstream: a.upstream, Snapshot: q.snapshot, Took: a.took, Reply: r})
 	if !q.shards[id.Shard].closed {
 		q.handleResult(now, id, r)
 	}
@@ -496,7 +496,7 @@
 			continue
 		}
 		a.took = q.elapsed(now) - a.sentAt
-		q.fleet.Observe(now, Observation{Upstream: a.upstream, Snapshot: q.snapshot, Took: a.took})
+		q.policy.Observe(now, Observation{Upstream: a.upstream, Snapshot: q.snapshot, Took: a.took})
 		q.actions = append(q.actions, Action{
 			Op:       OpCancel,
 			Attempt:  AttemptID{Round: len(q.restarts), Shard: shard, Try: try},
--- a/internal/query/retry.go
+++ b/internal/query/retry.go
@@ -73,7 +73,7 @@
 	if q.mustHold(now, n.cause) {
 		return q.holdAttempt(now, shard, n)
 	}
-	replica := q.fleet.PickReplica(now, ReplicaRequest{
+	replica := q.policy.PickReplica(now, ReplicaRequest{
 		Shard:    q.targets[shard],
 		Snapshot: q.snapshot,
 		Tried:    sh.tried,
@@ -91,7 +91,7 @@
 	if n.budgetTaken || (n.cause != Hedge && n.cause != Retry) {
 		return true
 	}
-	n.budgetTaken = q.fleet.Spend(q.plan.Kind, n.cause)
+	n.budgetTaken = q.policy.Spend(q.plan.Kind, n.cause)
 	if !n.budgetTaken {
 		q.stats.BudgetDenied[n.cause]++
 		n.budgetDenied = true
@@ -104,7 +104,7 @@
 	target := q.targets[shard]
 	u := target.Replicas[replica]
 	id := AttemptID{Round: len(q.restarts), Shard: shard, Try: len(sh.attempts)}
-	q.fleet.RecordSend(now, u)
+	q.policy.RecordSend(now, u)
 	q.stats.recordSend(n.cause, n.after)
 	sh.tried |= 1 << replica
 	sh.attempts = append(sh.attempts, attempt{
@@ -179,7 +179,7 @@
 	if !q.hedgingEnabled() || a.cause == Hedge || len(sh.attempts) >= maxAttempts {
 		return
 	}
-	delay, known := q.fleet.HedgeDelay(now, q.plan.Kind, q.targets[shard], a.replica)
+	delay, known := q.policy.HedgeDelay(now, q.plan.Kind, q.targets[shard], a.replica)
 	sh.hedgeDelayEstimated = !known
 	q.setTimer(shard, a.sentAt+delay)
 }
@@ -229,7 +229,7 @@
 	if float64(q.plan.Deadline.Sub(now)) < minRestartFraction*float64(total) {
 		return false
 	}
-	m, snapshot, ok := q.fleet.Repin(now, q.plan.Kind.Service, q.snapshot)
+	m, snapshot, ok := q.policy.Repin(now, q.plan.Kind.Service, q.snapshot)
 	if !ok || sameSnapshot(snapshot, q.snapshot) {
 		return false
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -46,7 +46,7 @@
 	Deliver func(*pb.SubReply)
 }
 
-// Router implements query.Fleet and query.Sender.
+// Router implements query.UpstreamPolicy and query.Sender.
 type Router struct {
 	opts     Options
 	rotation uint64
--- a/internal/routing/homes.go
+++ b/internal/routing/homes.go
@@ -16,7 +16,7 @@
 func (h Homes) Restricted() bool { return h.restricted }
 
 // Regions returns the home regions. The result is empty if the set is unrestricted or allows
-// no region; Bound distinguishes the two.
+// no region; Restricted distinguishes the two.
 func (h Homes) Regions() []string { return h.regions }
 
 // Allow reports whether requests may be served in a region. The empty region is unknown and
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -49,7 +49,7 @@
 	open    int
 	// mayHaveRun counts the sends that are not proved not run.
 	mayHaveRun int
-	// shut counts the sends with the result Shut.
+	// shut counts the sends with the result ConnectionClosed.
 	shut    int
 	refused int
 	// tried holds the ids of the upstreams tried since the last backoff.
--- a/internal/scatter/types.go
+++ b/internal/scatter/types.go
@@ -119,7 +119,7 @@
 	AfterRefusal   Cause = "after_refusal"
 	AfterFailure   Cause = "after_failure"
 	AfterUnreached Cause = "after_unreached"
-	// AfterFull follows the result Shut or NoConnection.
+	// AfterFull follows the result ConnectionClosed or NoConnection.
 	AfterFull Cause = "after_full"
 	// AfterBarred follows the result Barred.
 	AfterBarred Cause = "after_bar"
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -193,7 +193,7 @@
 // Configured replaces the limits. Kinds that it does not list are dropped.
 type Configured struct{ Limits []Limit }
 
-// TickInterval reports that time has passed. Usage returns the recent demand of a kind.
+// Tick reports that time has passed. Usage returns the recent demand of a kind.
 type Tick struct{ Usage func(Kind) Usage }
 
 // AckReceived is a request for a loan, or the confirmation of one, from another home
--- a/internal/strain/strain.go
+++ b/internal/strain/strain.go
@@ -35,7 +35,7 @@
 	strained  bool
 }
 
-// Observe records a wake-up scheduled Every after the previous one. It reports whether the value
+// Observe records a wake-up scheduled Interval after the previous one. It reports whether the value
 // of Strained has changed.
 func (m *Meter) Observe(now time.Time) bool {
 	last := m.last
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -8,7 +8,7 @@
 //
 // An upstream counts as warm if its entry in the store says so and the store has confirmed
 // the entry recently, or if its health path reports it. A sign of a restart, such as a closed
-// or refused connection, puts it in state Doubtful until a health check succeeds.
+// or refused connection, puts it in state Unverified until a health check succeeds.
 //
 // The package does no I/O and reads no clock.
 package warmup
@@ -62,7 +62,7 @@
 func New() *Table { return &Table{map[string]*record{}} }
 
 // Update updates the table from a view and drops the upstreams that are not in it. It marks
-// upstreams in an evacuated data centre as Doubtful, since they may become cold while they
+// upstreams in an evacuated data centre as Unverified, since they may become cold while they
 // receive no requests.
 func (t *Table) Update(now time.Time, v *catalog.View) {
 	for id := range t.records {
@@ -125,7 +125,7 @@
 }
 
 // StateByEntry returns the state of an upstream whose service has no health path. After a
-// sign of a restart the upstream is Doubtful for maxEntryDelay, within which its entry shows
+// sign of a restart the upstream is Unverified for maxEntryDelay, within which its entry shows
 // the restart if there was one.
 func (t *Table) StateByEntry(now time.Time, u *catalog.Upstream, confirmed bool) State {
 	r := t.records[u.ID]
@@ -141,7 +141,7 @@
 	}
 }
 
-// BeginCheck reports whether a health check of a Doubtful upstream is due, and if so records that
+// BeginCheck reports whether a health check of a Unverified upstream is due, and if so records that
 // it starts now.
 func (t *Table) BeginCheck(now time.Time, u *catalog.Upstream) bool {
 	r := t.records[u.ID]
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -9,7 +9,7 @@
 
 var start = time.Unix(1000, 0)
 
-// Guards against an upstream without a health path that never leaves Doubtful after a sign
+// Guards against an upstream without a health path that never leaves Unverified after a sign
 // of a restart, or never enters it.
 func TestStatesByEntry(t *testing.T) {
 	u := view(1, 0, false).Upstreams["u"]
