--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
-	"sycamorekeel.example/sycamorekeel/internal/direct"
+	"sycamorekeel.example/sycamorekeel/internal/connpool"
 	"sycamorekeel.example/sycamorekeel/internal/scatter"
 	"sycamorekeel.example/sycamorekeel/internal/virtualtime"
 )
@@ -139,7 +139,7 @@
 
 // ask brings a request, and notes how it ended.
 func (b *bench) ask(work time.Duration) *job {
-	j := &job{work: work, ended: func(r scatter.Result, load *direct.Load) {
+	j := &job{work: work, ended: func(r scatter.Result, load *connpool.Load) {
 		note := r.String()
 		if load != nil && !load.HasFreeSlot() {
 			note += " when full"
--- a/internal/balance/query.go
+++ b/internal/balance/query.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
-	"sycamorekeel.example/sycamorekeel/internal/direct"
+	"sycamorekeel.example/sycamorekeel/internal/connpool"
 	"sycamorekeel.example/sycamorekeel/internal/retrybudget"
 	"sycamorekeel.example/sycamorekeel/internal/scatter"
 )
@@ -112,7 +112,7 @@
 }
 
 // reply takes in how a send ended.
-func (q *query) reply(s *send, r scatter.Result, load *direct.Load, took time.Duration) {
+func (q *query) reply(s *send, r scatter.Result, load *connpool.Load, took time.Duration) {
 	if q.over {
 		return
 	}
@@ -126,7 +126,7 @@
 }
 
 // takenForFull tells whether a refusal is taken for want of room.
-func (q *query) takenForFull(load *direct.Load) bool {
+func (q *query) takenForFull(load *connpool.Load) bool {
 	switch q.vm.model.opts.Ways.Refusals {
 	case AllFull:
 		return true
--- a/internal/balance/server.go
+++ b/internal/balance/server.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
-	"sycamorekeel.example/sycamorekeel/internal/direct"
+	"sycamorekeel.example/sycamorekeel/internal/connpool"
 	"sycamorekeel.example/sycamorekeel/internal/scatter"
 	"sycamorekeel.example/sycamorekeel/internal/virtualtime"
 )
@@ -53,7 +53,7 @@
 	running   bool
 	withdrawn bool
 	// ended gets how it ended, once, unless it was withdrawn.
-	ended func(r scatter.Result, load *direct.Load)
+	ended func(r scatter.Result, load *connpool.Load)
 }
 
 func newServer(clock *virtualtime.Clock, r *rand.Rand, u *catalog.Upstream) *server {
@@ -87,8 +87,8 @@
 }
 
 // load is what it reports.
-func (s *server) load() *direct.Load {
-	return &direct.Load{Running: s.running, Waiting: len(s.waiting), Slots: s.Slots, Slowdown: s.pace}
+func (s *server) load() *connpool.Load {
+	return &connpool.Load{Running: s.running, Waiting: len(s.waiting), Slots: s.Slots, Slowdown: s.pace}
 }
 
 // arrive brings a request.
--- a/internal/balance/vm.go
+++ b/internal/balance/vm.go
@@ -7,7 +7,7 @@
 
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
 	"sycamorekeel.example/sycamorekeel/internal/congestion"
-	"sycamorekeel.example/sycamorekeel/internal/direct"
+	"sycamorekeel.example/sycamorekeel/internal/connpool"
 	"sycamorekeel.example/sycamorekeel/internal/locality"
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 	"sycamorekeel.example/sycamorekeel/internal/replica"
@@ -159,7 +159,7 @@
 	begun := m.clock.Now()
 	hop := v.hop(s.server.DataCentre)
 	s.job = &job{work: s.query.kind.Work}
-	s.job.ended = func(r scatter.Result, load *direct.Load) {
+	s.job.ended = func(r scatter.Result, load *connpool.Load) {
 		m.clock.After(hop, func() {
 			if s.over {
 				return
--- a/internal/callerapi/callerapi.go
+++ b/internal/callerapi/callerapi.go
@@ -19,7 +19,7 @@
 	"sycamorekeel.example/sycamorekeel/internal/contract"
 	"sycamorekeel.example/sycamorekeel/internal/frontend"
 	"sycamorekeel.example/sycamorekeel/internal/httpserver"
-	"sycamorekeel.example/sycamorekeel/internal/once"
+	"sycamorekeel.example/sycamorekeel/internal/idempotency"
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 	"sycamorekeel.example/sycamorekeel/internal/refusal"
 )
@@ -288,7 +288,7 @@
 // the request could run twice.
 func (s *Server) refuse(ctx *fasthttp.RequestCtx, e *refusal.Error) {
 	operation := string(ctx.Request.Header.Peek(HeaderOperation))
-	if _, err := once.ParseKey(operation); err != nil {
+	if _, err := idempotency.ParseKey(operation); err != nil {
 		operation = ""
 	} else {
 		e = e.WithUnproven()
--- a/internal/callerapi/callerapi_test.go
+++ b/internal/callerapi/callerapi_test.go
@@ -26,8 +26,8 @@
 	"sycamorekeel.example/sycamorekeel/internal/contract"
 	"sycamorekeel.example/sycamorekeel/internal/explain"
 	"sycamorekeel.example/sycamorekeel/internal/frontend"
+	"sycamorekeel.example/sycamorekeel/internal/idempotency"
 	"sycamorekeel.example/sycamorekeel/internal/logring"
-	"sycamorekeel.example/sycamorekeel/internal/once"
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 	"sycamorekeel.example/sycamorekeel/internal/poison"
 	"sycamorekeel.example/sycamorekeel/internal/query"
@@ -126,7 +126,7 @@
 func (w *fakeDaemon) Pin(_ time.Time, s *contract.Service) (*contract.ShardMap, *pb.Snapshot, bool) {
 	return s.Maps[0], &pb.Snapshot{Generation: 1, Version: 1}, true
 }
-func (w *fakeDaemon) Forward(context.Context, *contract.Kind, *frontend.Request, *once.Key) (*frontend.Reply, frontend.ForwardOutcome) {
+func (w *fakeDaemon) Forward(context.Context, *contract.Kind, *frontend.Request, *idempotency.Key) (*frontend.Reply, frontend.ForwardOutcome) {
 	return nil, w.fate
 }
 
@@ -184,7 +184,7 @@
 	})
 	operations := frontend.NewOperations(frontend.OperationsOptions{
 		Registry: registry, Frontend: b.front, Forwarder: b.fakeDaemon, VM: vmName, Incarnation: incarnation,
-		Secret: make([]byte, once.KeySize), Life: time.Minute, Grace: time.Minute,
+		Secret: make([]byte, idempotency.KeySize), Life: time.Minute, Grace: time.Minute,
 		Now: func() time.Time { return time.Now().Add(time.Duration(b.clockOffset.Load())) },
 	})
 	server := callerapi.New(callerapi.Options{
--- a/internal/follow/follow.go
+++ b/internal/catalogsync/catalogsync.go
@@ -1,4 +1,4 @@
-// Package follow keeps one VM's catalog.State up to date. It decides whether the VM reads the
+// Package catalogsync keeps one VM's catalog.State up to date. It decides whether the VM reads the
 // store itself or pulls from peers, when, and from which peer. It performs no I/O: events are
 // passed in with the time, and it returns actions for the caller to carry out.
 //
@@ -7,7 +7,7 @@
 // the sender's position and the time since the store last confirmed it. A VM that is behind
 // pulls from a peer that is ahead. A VM that has received no confirmation for too long reads
 // the store itself.
-package follow
+package catalogsync
 
 import (
 	"cmp"
--- a/internal/follow/confirm_test.go
+++ b/internal/catalogsync/confirm_test.go
@@ -1,4 +1,4 @@
-package follow
+package catalogsync
 
 import (
 	"testing"
--- a/internal/direct/call.go
+++ b/internal/connpool/call.go
@@ -1,4 +1,4 @@
-// Package direct sends requests from this VM to upstreams over pooled HTTP/1.1
+// Package connpool sends requests from this VM to upstreams over pooled HTTP/1.1
 // connections. A connection carries one request at a time, and the number of
 // connections per upstream is limited to this VM's share of what the upstream
 // accepts. The package never retries: each call is sent at most once.
@@ -6,7 +6,7 @@
 // Lock order: Pools.mu, then Pool.mu, then Call.mu. No blocking operation runs under
 // these locks: only the connection limit is read and idle sockets are inspected
 // without blocking. Replies are delivered and bytes are transferred with no lock held.
-package direct
+package connpool
 
 import (
 	"net"
--- a/internal/direct/check.go
+++ b/internal/connpool/check.go
@@ -1,4 +1,4 @@
-package direct
+package connpool
 
 import (
 	"net"
--- a/internal/strain/strain.go
+++ b/internal/cpulag/cpulag.go
@@ -1,11 +1,11 @@
-// Package strain detects that a process gets too little CPU time, by the delay of its timer
+// Package cpulag detects that a process gets too little CPU time, by the delay of its timer
 // wake-ups. It reads no clock: callers pass the time.
 //
 // A VM that has become slow still accepts requests. They all wait for the CPU, upstreams'
 // answers stay unread, and hedges add to the load, yet no upstream's latency shows it. A process
 // that detects the delay can report it to its peers, so that callers are routed elsewhere, and
 // can immediately refuse requests that it would answer too late.
-package strain
+package cpulag
 
 import "time"
 
--- a/internal/strain/strain_test.go
+++ b/internal/cpulag/cpulag_test.go
@@ -1,4 +1,4 @@
-package strain
+package cpulag
 
 import (
 	"testing"
--- a/internal/daemon/forward.go
+++ b/internal/daemon/forward.go
@@ -9,7 +9,7 @@
 
 	"sycamorekeel.example/sycamorekeel/internal/contract"
 	"sycamorekeel.example/sycamorekeel/internal/frontend"
-	"sycamorekeel.example/sycamorekeel/internal/once"
+	"sycamorekeel.example/sycamorekeel/internal/idempotency"
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 	"sycamorekeel.example/sycamorekeel/internal/refusal"
 )
@@ -21,7 +21,7 @@
 // newOperations returns the at-most-once operations of this incarnation. Their secret
 // is random and never stored or sent, so every lease ends with the process.
 func (d *Daemon) newOperations() *frontend.Operations {
-	secret := make([]byte, once.KeySize)
+	secret := make([]byte, idempotency.KeySize)
 	// rand.Read never fails: the runtime ends the process without randomness.
 	_, _ = rand.Read(secret)
 	return frontend.NewOperations(frontend.OperationsOptions{
@@ -84,7 +84,7 @@
 
 // Forward sends the request once to the VM that its key names and waits for the reply
 // until ctx ends. The reply is nil unless the outcome is ForwardAnswered.
-func (f *forwarder) Forward(ctx context.Context, k *contract.Kind, req *frontend.Request, key *once.Key) (*frontend.Reply, frontend.ForwardOutcome) {
+func (f *forwarder) Forward(ctx context.Context, k *contract.Kind, req *frontend.Request, key *idempotency.Key) (*frontend.Reply, frontend.ForwardOutcome) {
 	m, ok := f.d.view.Load().Find(key.VM)
 	if !ok || key.VM == f.d.settings.Vm || m.State == pb.MemberState_DEAD || m.Incarnation > key.Incarnation {
 		return nil, frontend.ForwardTargetGone
@@ -201,7 +201,7 @@
 	if k == nil {
 		return refuseForward(r, "the VM that the key names does not know the kind yet"), false
 	}
-	key, err := once.ParseKey(r.Operation)
+	key, err := idempotency.ParseKey(r.Operation)
 	if err != nil {
 		return refuseForward(r, "the forwarded key could not be read"), false
 	}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -15,7 +15,7 @@
 
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
 	"sycamorekeel.example/sycamorekeel/internal/congestion"
-	"sycamorekeel.example/sycamorekeel/internal/direct"
+	"sycamorekeel.example/sycamorekeel/internal/connpool"
 	"sycamorekeel.example/sycamorekeel/internal/locality"
 	"sycamorekeel.example/sycamorekeel/internal/logring"
 	"sycamorekeel.example/sycamorekeel/internal/poison"
@@ -61,7 +61,7 @@
 type Options struct {
 	Logs     logring.Loggers
 	Metrics  *Metrics
-	Protocol direct.Protocol
+	Protocol connpool.Protocol
 	Place    locality.Place
 	// Traffic counts the bytes exchanged with upstreams.
 	Traffic *traffic.Meter
@@ -79,10 +79,10 @@
 type Engine struct {
 	opts  Options
 	now   func() time.Time
-	pools *direct.Pools
+	pools *connpool.Pools
 	// startCall starts a call to an upstream. checkEnded reports whether the process of an
 	// upstream has ended.
-	startCall  func(*direct.Call)
+	startCall  func(*connpool.Call)
 	checkEnded func(*catalog.Upstream, func(ended bool))
 	// poison withholds requests that crash upstreams.
 	poison   *poison.Guard
@@ -124,7 +124,7 @@
 	}
 	e.warmups.table = warmup.New()
 	e.shares.Store(&Shares{VMs: 1, IngressVMs: 1, Ingress: true})
-	e.pools = direct.NewPools(opts.Protocol, upstreamObserver{opts.Traffic, opts.Place, e}, e.connectionLimit)
+	e.pools = connpool.NewPools(opts.Protocol, upstreamObserver{opts.Traffic, opts.Place, e}, e.connectionLimit)
 	e.startCall = e.pools.Do
 	e.checkEnded = e.pools.CheckProcess
 	e.poison = poison.New(opts.Logs, opts.Metrics.poison)
--- a/internal/edge/load_test.go
+++ b/internal/edge/load_test.go
@@ -12,7 +12,7 @@
 	"github.com/valyala/fasthttp"
 
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
-	"sycamorekeel.example/sycamorekeel/internal/direct"
+	"sycamorekeel.example/sycamorekeel/internal/connpool"
 	"sycamorekeel.example/sycamorekeel/internal/locality"
 	"sycamorekeel.example/sycamorekeel/internal/logring"
 	"sycamorekeel.example/sycamorekeel/internal/retrybudget"
@@ -57,7 +57,7 @@
 	view     *catalog.View
 	faulty   map[string]behaviour
 	// reported is the load that upstreams report when they refuse, nil for none.
-	reported *direct.Load
+	reported *connpool.Load
 	// firstSends counts the first sends to each upstream by bin.
 	firstSends map[string]map[int]int
 	// faultRequests counts the requests that arrived during the fault, the others those of
@@ -137,7 +137,7 @@
 	gap := time.Duration((0.5 + s.rand.Float64()) * float64(time.Second) / simRate)
 	s.clock.At(s.clock.Now().Add(gap), func() { s.arrive(path) })
 	s.arrivals++
-	r := &Request{Host: "h", Path: path, Received: s.clock.Now(), Deadline: simDeadline, Message: &direct.Message{ID: fmt.Sprint(s.arrivals), Header: &fasthttp.RequestHeader{}}}
+	r := &Request{Host: "h", Path: path, Received: s.clock.Now(), Deadline: simDeadline, Message: &connpool.Message{ID: fmt.Sprint(s.arrivals), Header: &fasthttp.RequestHeader{}}}
 	r.Route = s.view.Table.Lookup("h", path)
 	q := &simRequest{run: s.engine.newRun(s.view, r)}
 	s.step(q, func() { q.dispatch(q.query.Start(s.clock.Now())) })
@@ -171,7 +171,7 @@
 
 // call replaces the connections to upstreams: the reply arrives when the behaviour of the
 // upstream says.
-func (s *sim) call(c *direct.Call) {
+func (s *sim) call(c *connpool.Call) {
 	q := s.current
 	since := s.clock.Now().Sub(s.start)
 	if q.sends[len(q.sends)-1].cause == scatter.First {
@@ -183,7 +183,7 @@
 	}
 	s.clock.At(s.clock.Now().Add(after), func() {
 		s.step(q, func() {
-			c.Done(direct.Reply{Result: result, Took: after, Response: &fasthttp.Response{}, Load: s.reported})
+			c.Done(connpool.Reply{Result: result, Took: after, Response: &fasthttp.Response{}, Load: s.reported})
 			q.takeReplies()
 		})
 	})
@@ -395,7 +395,7 @@
 func TestReplicasThatRefuseWithFreeSlotsAreAvoided(t *testing.T) {
 	const shard = "s0-a0"
 	shed := sometimes(0.6, endsWith(scatter.Refused, 2*time.Millisecond))
-	relativeShare := func(reported *direct.Load) float64 {
+	relativeShare := func(reported *connpool.Load) float64 {
 		s := newSim(0)
 		for seed := range uint64(simSeeds) {
 			r := newSim(seed + 1)
@@ -408,7 +408,7 @@
 		}
 		return s.sendShare(shard, simFaultStart+time.Second, simFaultEnd) / s.sendShare(shard, 2*time.Second, simFaultStart)
 	}
-	free, full, silent := relativeShare(&direct.Load{Running: 1, Slots: 4}), relativeShare(&direct.Load{Running: 4, Waiting: 20, Slots: 4}), relativeShare(nil)
+	free, full, silent := relativeShare(&connpool.Load{Running: 1, Slots: 4}), relativeShare(&connpool.Load{Running: 4, Waiting: 20, Slots: 4}), relativeShare(nil)
 	t.Logf("first sends relative to normal: free slots %.3f, full %.3f, nothing reported %.3f", free, full, silent)
 	if free > full/2 || free > 0.1 {
 		t.Errorf("first sends relative to normal: with free slots %.3f, full %.3f", free, full)
@@ -422,10 +422,10 @@
 // slots.
 func TestRefusalsWithFreeSlotsAreNotCongestion(t *testing.T) {
 	x := &run{sends: []send{
-		{part: 0, replied: true, reply: direct.Reply{Result: scatter.Refused, Load: &direct.Load{Running: 1, Slots: 4}}},
-		{part: 1, replied: true, reply: direct.Reply{Result: scatter.Refused, Load: &direct.Load{Running: 4, Slots: 4}}},
-		{part: 2, replied: true, reply: direct.Reply{Result: scatter.Refused}},
-		{part: 3, replied: true, reply: direct.Reply{Result: scatter.Failed}},
+		{part: 0, replied: true, reply: connpool.Reply{Result: scatter.Refused, Load: &connpool.Load{Running: 1, Slots: 4}}},
+		{part: 1, replied: true, reply: connpool.Reply{Result: scatter.Refused, Load: &connpool.Load{Running: 4, Slots: 4}}},
+		{part: 2, replied: true, reply: connpool.Reply{Result: scatter.Refused}},
+		{part: 3, replied: true, reply: connpool.Reply{Result: scatter.Failed}},
 	}}
 	if n := x.congestedParts(); n != 2 {
 		t.Errorf("%d parts count as congested, want 2", n)
--- a/internal/edge/observe_test.go
+++ b/internal/edge/observe_test.go
@@ -12,7 +12,7 @@
 	"github.com/valyala/fasthttp"
 
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
-	"sycamorekeel.example/sycamorekeel/internal/direct"
+	"sycamorekeel.example/sycamorekeel/internal/connpool"
 	"sycamorekeel.example/sycamorekeel/internal/logring"
 	"sycamorekeel.example/sycamorekeel/internal/quarantine"
 	"sycamorekeel.example/sycamorekeel/internal/retrybudget"
@@ -70,7 +70,7 @@
 }
 
 func request(path string) *Request {
-	return &Request{Host: "h", Path: path, Received: time.Now(), Message: &direct.Message{ID: "id", Header: &fasthttp.RequestHeader{}}}
+	return &Request{Host: "h", Path: path, Received: time.Now(), Message: &connpool.Message{ID: "id", Header: &fasthttp.RequestHeader{}}}
 }
 
 // Guards against refusals that are neither logged nor counted: a request that is refused
@@ -170,7 +170,7 @@
 	e.configure(u)
 	now := time.Now()
 	for i := range uint64(2) {
-		e.replicas.Sent(now, "plain", time.Second, u, i, (&direct.Call{}).Waited)
+		e.replicas.Sent(now, "plain", time.Second, u, i, (&connpool.Call{}).Waited)
 		e.replicas.Failed(now, u, i)
 	}
 	e.Tick(now)
--- a/internal/edge/poison_test.go
+++ b/internal/edge/poison_test.go
@@ -11,7 +11,7 @@
 	"github.com/valyala/fasthttp"
 
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
-	"sycamorekeel.example/sycamorekeel/internal/direct"
+	"sycamorekeel.example/sycamorekeel/internal/connpool"
 	"sycamorekeel.example/sycamorekeel/internal/quarantine"
 	"sycamorekeel.example/sycamorekeel/internal/scatter"
 )
@@ -65,7 +65,7 @@
 	isolated       bool
 	connectedSince time.Time
 	// calls maps the message of a call to its attempt.
-	calls map[*direct.Message]*simAttempt
+	calls map[*connpool.Message]*simAttempt
 }
 
 // simAttempt is an attempt in progress, with the function that gets its answer.
@@ -94,7 +94,7 @@
 }
 
 func (c *crashSim) newVM(seed uint64) *simVM {
-	v := &simVM{sim: newSim(seed), fleet: c, connectedSince: c.clock.Now(), calls: map[*direct.Message]*simAttempt{}}
+	v := &simVM{sim: newSim(seed), fleet: c, connectedSince: c.clock.Now(), calls: map[*connpool.Message]*simAttempt{}}
 	e := v.engine
 	e.now = c.clock.Now
 	e.startCall = v.call
@@ -130,7 +130,7 @@
 	c := v.fleet
 	h := &fasthttp.RequestHeader{}
 	h.SetRequestURI(path)
-	r := &Request{Host: "h", Path: path, Received: c.clock.Now(), Deadline: simDeadline, Message: &direct.Message{ID: fmt.Sprint(path, "#", attempt, "@", c.arrivals), Header: h}}
+	r := &Request{Host: "h", Path: path, Received: c.clock.Now(), Deadline: simDeadline, Message: &connpool.Message{ID: fmt.Sprint(path, "#", attempt, "@", c.arrivals), Header: h}}
 	r.Route = v.view.Table.Lookup("h", path)
 	w := quarantine.NewTrialWait(c.clock.Now(), c.rand.Float64())
 	v.admit(r, &w, done)
@@ -182,14 +182,14 @@
 
 // call simulates one send. An upstream that is down cannot be reached, and requests that run
 // at an upstream end when it crashes.
-func (v *simVM) call(call *direct.Call) {
+func (v *simVM) call(call *connpool.Call) {
 	c := v.fleet
 	q := v.calls[call.Message]
 	u := call.Upstream
 	sent := c.clock.Now()
 	reply := func(r scatter.Result) {
 		v.step(q, func() {
-			call.Done(direct.Reply{Result: r, Took: c.clock.Now().Sub(sent), Response: &fasthttp.Response{}})
+			call.Done(connpool.Reply{Result: r, Took: c.clock.Now().Sub(sent), Response: &fasthttp.Response{}})
 			q.takeReplies()
 		})
 	}
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -6,7 +6,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"sycamorekeel.example/sycamorekeel/internal/direct"
+	"sycamorekeel.example/sycamorekeel/internal/connpool"
 	"sycamorekeel.example/sycamorekeel/internal/fingerprint"
 	"sycamorekeel.example/sycamorekeel/internal/routing"
 	"sycamorekeel.example/sycamorekeel/internal/scatter"
@@ -18,7 +18,7 @@
 	Host string
 	// Path is the path of the request target, as sent.
 	Path    string
-	Message *direct.Message
+	Message *connpool.Message
 	// Received is when the request was read.
 	Received time.Time
 	// Deadline is how long the caller waits from Received; 0 if it sets no deadline.
--- a/internal/edge/run.go
+++ b/internal/edge/run.go
@@ -8,7 +8,7 @@
 	"go.uber.org/zap"
 
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
-	"sycamorekeel.example/sycamorekeel/internal/direct"
+	"sycamorekeel.example/sycamorekeel/internal/connpool"
 	"sycamorekeel.example/sycamorekeel/internal/replica"
 	"sycamorekeel.example/sycamorekeel/internal/scatter"
 )
@@ -40,10 +40,10 @@
 type send struct {
 	id      uint64
 	part    int
-	call    *direct.Call
+	call    *connpool.Call
 	cause   scatter.Cause
 	sentAt  time.Time
-	reply   direct.Reply
+	reply   connpool.Reply
 	replied bool
 	// cancelled says that the run no longer waits for the reply.
 	cancelled bool
@@ -68,7 +68,7 @@
 
 type attemptReply struct {
 	attempt int
-	reply   direct.Reply
+	reply   connpool.Reply
 }
 
 func (q *replyQueue) put(r attemptReply) {
@@ -248,7 +248,7 @@
 func (x *run) send(s scatter.Send) {
 	e := x.engine
 	now := e.now()
-	call := &direct.Call{
+	call := &connpool.Call{
 		Message:  x.req.Message,
 		Upstream: s.Upstream,
 		Deadline: x.plan.Deadline,
@@ -256,7 +256,7 @@
 		Priority: x.req.Route.Priority,
 		Extra:    s.Cause != scatter.First,
 		Barred:   func() string { return x.barred(s.Upstream) },
-		Done:     func(r direct.Reply) { x.replies.put(attemptReply{s.Attempt, r}) },
+		Done:     func(r connpool.Reply) { x.replies.put(attemptReply{s.Attempt, r}) },
 	}
 	e.mu.Lock()
 	e.sends++
--- a/internal/edge/warm.go
+++ b/internal/edge/warm.go
@@ -7,7 +7,7 @@
 	"go.uber.org/zap"
 
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
-	"sycamorekeel.example/sycamorekeel/internal/direct"
+	"sycamorekeel.example/sycamorekeel/internal/connpool"
 	"sycamorekeel.example/sycamorekeel/internal/routing"
 	"sycamorekeel.example/sycamorekeel/internal/warmup"
 )
@@ -83,7 +83,7 @@
 }
 
 // healthAnswered records the result of a health check that started at begun.
-func (e *Engine) healthAnswered(u *catalog.Upstream, begun time.Time, h direct.Health, err error) {
+func (e *Engine) healthAnswered(u *catalog.Upstream, begun time.Time, h connpool.Health, err error) {
 	e.opts.Metrics.healthChecked(err)
 	if err != nil {
 		e.opts.Logs.Failures.Info("upstream: health check failed, no requests until the next check succeeds",
--- a/internal/edge/warm_test.go
+++ b/internal/edge/warm_test.go
@@ -11,7 +11,7 @@
 	"github.com/valyala/fasthttp"
 
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
-	"sycamorekeel.example/sycamorekeel/internal/direct"
+	"sycamorekeel.example/sycamorekeel/internal/connpool"
 	"sycamorekeel.example/sycamorekeel/internal/locality"
 	"sycamorekeel.example/sycamorekeel/internal/logring"
 	"sycamorekeel.example/sycamorekeel/internal/retrybudget"
@@ -23,22 +23,22 @@
 // statusProtocol is a protocol whose results depend only on the HTTP status.
 type statusProtocol struct{}
 
-func (statusProtocol) Encode(req *fasthttp.Request, _ *direct.Message, u *catalog.Upstream, _ time.Duration) {
+func (statusProtocol) Encode(req *fasthttp.Request, _ *connpool.Message, u *catalog.Upstream, _ time.Duration) {
 	req.SetRequestURI("/work")
 	req.Header.SetHost(u.Address)
 }
 
-func (statusProtocol) Decode(resp *fasthttp.Response, _ *direct.Message) (scatter.Result, string, string) {
+func (statusProtocol) Decode(resp *fasthttp.Response, _ *connpool.Message) (scatter.Result, string, string) {
 	if resp.StatusCode() != fasthttp.StatusOK {
 		return scatter.Failed, "", "status"
 	}
 	return scatter.Answered, "", ""
 }
 
-func (statusProtocol) DecodeLoad(*fasthttp.Response) *direct.Load { return nil }
+func (statusProtocol) DecodeLoad(*fasthttp.Response) *connpool.Load { return nil }
 
-func (statusProtocol) DecodeHealth(resp *fasthttp.Response) (direct.Health, error) {
-	return direct.Health{Upstream: string(resp.Header.Peek("Id"))}, nil
+func (statusProtocol) DecodeHealth(resp *fasthttp.Response) (connpool.Health, error) {
+	return connpool.Health{Upstream: string(resp.Header.Peek("Id"))}, nil
 }
 
 // coldService is an engine with one service whose upstreams sustain few requests while cold.
@@ -87,7 +87,7 @@
 }
 
 func (c *coldService) request() Answer {
-	return c.engine.Serve(&Request{Host: "h", Path: "/x", Received: c.engine.now(), Deadline: 5 * time.Second, Message: &direct.Message{ID: "id", Header: &fasthttp.RequestHeader{}}})
+	return c.engine.Serve(&Request{Host: "h", Path: "/x", Received: c.engine.now(), Deadline: 5 * time.Second, Message: &connpool.Message{ID: "id", Header: &fasthttp.RequestHeader{}}})
 }
 
 // healthChecks returns how many health checks the metrics count, whatever their result.
--- a/internal/frontend/operations.go
+++ b/internal/frontend/operations.go
@@ -10,7 +10,7 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 
 	"sycamorekeel.example/sycamorekeel/internal/contract"
-	"sycamorekeel.example/sycamorekeel/internal/once"
+	"sycamorekeel.example/sycamorekeel/internal/idempotency"
 	"sycamorekeel.example/sycamorekeel/internal/refusal"
 )
 
@@ -51,7 +51,7 @@
 // Forwarder sends a request to the VM named by its key, without retries.
 type Forwarder interface {
 	// Forward returns a non-nil reply only with ForwardAnswered.
-	Forward(ctx context.Context, k *contract.Kind, req *Request, key *once.Key) (*Reply, ForwardOutcome)
+	Forward(ctx context.Context, k *contract.Kind, req *Request, key *idempotency.Key) (*Reply, ForwardOutcome)
 }
 
 // OperationsOptions configures Operations.
@@ -79,7 +79,7 @@
 	forwards *prometheus.CounterVec
 
 	mu      sync.Mutex
-	table   *once.Table[*Reply]
+	table   *idempotency.Table[*Reply]
 	running map[string]*pending
 }
 
@@ -104,7 +104,7 @@
 			Help: "Non-idempotent requests forwarded to the VM their key names, by fate.",
 		}, []string{"fate"}),
 		running: map[string]*pending{},
-		table: once.NewTable[*Reply](once.Options{
+		table: idempotency.NewTable[*Reply](idempotency.Options{
 			VM:          opts.VM,
 			Incarnation: opts.Incarnation,
 			Secret:      opts.Secret,
@@ -146,39 +146,39 @@
 }
 
 // key parses the caller's key, or issues one and stores it in req.
-func (o *Operations) key(k *contract.Kind, req *Request) (*once.Key, error) {
+func (o *Operations) key(k *contract.Kind, req *Request) (*idempotency.Key, error) {
 	if req.Operation != "" {
-		return once.ParseKey(req.Operation)
+		return idempotency.ParseKey(req.Operation)
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	key := &once.Key{Lease: *o.table.Issue(o.now(), k.Customer), Counter: 1}
+	key := &idempotency.Key{Lease: *o.table.Issue(o.now(), k.Customer), Counter: 1}
 	req.Operation = key.String()
 	return key, nil
 }
 
 // isLocal reports whether the key names this incarnation. It needs no lock: the
 // fields that the table compares are immutable.
-func (o *Operations) isLocal(key *once.Key) bool {
+func (o *Operations) isLocal(key *idempotency.Key) bool {
 	return o.table.IssuedBySelf(&key.Lease)
 }
 
 // ServeLocal executes a request whose key names this VM, received from a caller or
 // from another VM. It never forwards.
-func (o *Operations) ServeLocal(ctx context.Context, k *contract.Kind, req *Request, key *once.Key) *Reply {
+func (o *Operations) ServeLocal(ctx context.Context, k *contract.Kind, req *Request, key *idempotency.Key) *Reply {
 	if !o.isLocal(key) {
 		return o.refuse(req, errGone())
 	}
 	d, p := o.begin(k, req, key)
 	o.verdicts.WithLabelValues(d.Verdict.String()).Inc()
 	switch d.Verdict {
-	case once.New:
+	case idempotency.New:
 		return o.run(ctx, k, req, key, p)
-	case once.Decided:
+	case idempotency.Decided:
 		return d.Outcome
-	case once.Running:
+	case idempotency.Running:
 		return o.await(ctx, k, req, p)
-	case once.Full:
+	case idempotency.Full:
 		o.opts.Frontend.CountRefusal(errFull())
 		return d.Outcome
 	default:
@@ -188,20 +188,20 @@
 
 // begin enters the request in the table. The pending operation is non-nil for the
 // verdicts New and Running.
-func (o *Operations) begin(k *contract.Kind, req *Request, key *once.Key) (once.Decision[*Reply], *pending) {
-	digest := once.DigestOf(k.Name, req.Body)
+func (o *Operations) begin(k *contract.Kind, req *Request, key *idempotency.Key) (idempotency.Decision[*Reply], *pending) {
+	digest := idempotency.DigestOf(k.Name, req.Body)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.now()
 	d := o.table.Begin(now, k.Customer, key, digest, o.maxOperations(k))
 	switch d.Verdict {
-	case once.New:
+	case idempotency.New:
 		p := &pending{done: make(chan struct{})}
 		o.running[req.Operation] = p
 		return d, p
-	case once.Running:
+	case idempotency.Running:
 		return d, o.running[req.Operation]
-	case once.Full:
+	case idempotency.Full:
 		d.Outcome = Refused(&Failure{Error: errFull(), Operation: req.Operation})
 		o.table.Refuse(now, k.Customer, key, d.Outcome)
 	}
@@ -217,7 +217,7 @@
 
 // run executes the first copy of an operation, stores its outcome and wakes the
 // waiting copies.
-func (o *Operations) run(ctx context.Context, k *contract.Kind, req *Request, key *once.Key, p *pending) *Reply {
+func (o *Operations) run(ctx context.Context, k *contract.Kind, req *Request, key *idempotency.Key, p *pending) *Reply {
 	end := o.query(ctx, k, req)
 	o.mu.Lock()
 	keep := end.reply
@@ -270,7 +270,7 @@
 // forward sends the request to the VM named by its key. It never runs the request
 // on this VM. No refusal says "not run", because this VM cannot know whether an
 // earlier copy reached the target.
-func (o *Operations) forward(ctx context.Context, k *contract.Kind, req *Request, key *once.Key) *Reply {
+func (o *Operations) forward(ctx context.Context, k *contract.Kind, req *Request, key *idempotency.Key) *Reply {
 	ctx, cancel := context.WithTimeout(ctx, timeLeft(k, req))
 	defer cancel()
 	reply, fate := o.opts.Forwarder.Forward(ctx, k, req, key)
@@ -306,13 +306,13 @@
 }
 
 // verdictError returns the refusal for a verdict that rejects the key.
-func verdictError(v once.Verdict) *refusal.Error {
+func verdictError(v idempotency.Verdict) *refusal.Error {
 	switch v {
-	case once.Mismatch:
+	case idempotency.Mismatch:
 		return refusal.New(refusal.BadRequest, "the key was used for another request; use another key")
-	case once.Expired, once.Closed:
+	case idempotency.Expired, idempotency.Closed:
 		return refusal.New(refusal.OperationExpired, "the lease of the key takes no new operations; ask endpoints for another")
-	case once.Forgotten:
+	case idempotency.Forgotten:
 		return &refusal.Error{Reason: refusal.OperationExpired, Ran: refusal.Unknown, Detail: "the lease of the key has ended and its operations are forgotten"}
 	default:
 		return refusal.New(refusal.ForeignOperation, "the key was not given to this customer; ask endpoints for a lease")
--- a/internal/once/conformance_test.go
+++ b/internal/idempotency/conformance_test.go
@@ -1,4 +1,4 @@
-package once_test
+package idempotency_test
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 
 	"sycamorekeel.example/sycamorekeel/internal/dispatch"
-	"sycamorekeel.example/sycamorekeel/internal/once"
+	"sycamorekeel.example/sycamorekeel/internal/idempotency"
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 )
 
@@ -52,7 +52,7 @@
 type protocolModel struct {
 	now           time.Duration
 	incarnation   uint64
-	home          *once.Table[callerOutcome]
+	home          *idempotency.Table[callerOutcome]
 	operations    []*operation
 	owners        [2]*ownerProcess
 	attempts      []*attempt
@@ -72,7 +72,7 @@
 )
 
 type operation struct {
-	key             *once.Key
+	key             *idempotency.Key
 	homeIncarnation uint64
 	open            bool
 	attempt         *attempt
@@ -127,7 +127,7 @@
 
 func (s *protocolModel) issue(rt *rapid.T) {
 	lease := s.home.Issue(s.now, "office")
-	s.operations = append(s.operations, &operation{key: &once.Key{Lease: *lease, Counter: 1}, homeIncarnation: s.incarnation})
+	s.operations = append(s.operations, &operation{key: &idempotency.Key{Lease: *lease, Counter: 1}, homeIncarnation: s.incarnation})
 }
 
 // drawRecent draws an index among the last recentCount of n.
@@ -155,9 +155,9 @@
 	if !s.home.IssuedBySelf(&op.key.Lease) {
 		return // answered unknown
 	}
-	d := s.home.Begin(reading, "office", op.key, once.Digest{}, confMaxOperations)
+	d := s.home.Begin(reading, "office", op.key, idempotency.Digest{}, confMaxOperations)
 	switch d.Verdict {
-	case once.New:
+	case idempotency.New:
 		op.open = true
 		op.attempts = 0
 		if rapid.IntRange(0, 4).Draw(rt, "admission") == 0 {
@@ -165,14 +165,14 @@
 			return
 		}
 		s.dispatch(rt, op)
-	case once.Decided:
+	case idempotency.Decided:
 		s.answerCaller(rt, op, d.Outcome)
-	case once.Full:
+	case idempotency.Full:
 		s.home.Refuse(s.now, "office", op.key, outcomeNotRun)
 		s.answerCaller(rt, op, outcomeNotRun)
-	case once.Expired, once.Closed:
+	case idempotency.Expired, idempotency.Closed:
 		s.answerCaller(rt, op, outcomeNotRun)
-	case once.Foreign, once.Mismatch:
+	case idempotency.Foreign, idempotency.Mismatch:
 		rt.Fatalf("verdict %v on the home's own key", d.Verdict)
 	}
 }
@@ -348,8 +348,8 @@
 
 func (s *protocolModel) restartHome(*rapid.T) {
 	s.incarnation++
-	s.home = once.NewTable[callerOutcome](once.Options{
-		VM: "home", Incarnation: s.incarnation, Secret: bytes.Repeat([]byte{byte(s.incarnation)}, once.KeySize),
+	s.home = idempotency.NewTable[callerOutcome](idempotency.Options{
+		VM: "home", Incarnation: s.incarnation, Secret: bytes.Repeat([]byte{byte(s.incarnation)}, idempotency.KeySize),
 		Life: confLife, Grace: confGrace, MaxRefused: 2,
 	})
 	for _, op := range s.operations {
--- a/internal/once/lease.go
+++ b/internal/idempotency/lease.go
@@ -1,9 +1,9 @@
-// Package once decides whether a non-idempotent request may run, so that each
+// Package idempotency decides whether a non-idempotent request may run, so that each
 // operation runs at most once. It issues operation leases, parses the keys that
 // name operations within them, and keeps the first outcome of every operation
 // until its lease can no longer be used. The package is pure: callers pass in
 // the time and the secret, and dispatch the requests themselves.
-package once
+package idempotency
 
 import (
 	"crypto/hmac"
--- a/internal/once/table.go
+++ b/internal/idempotency/table.go
@@ -1,4 +1,4 @@
-package once
+package idempotency
 
 import (
 	"crypto/sha256"
--- a/internal/node/join.go
+++ b/internal/node/join.go
@@ -14,10 +14,10 @@
 	"google.golang.org/protobuf/proto"
 
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
-	"sycamorekeel.example/sycamorekeel/internal/follow"
+	"sycamorekeel.example/sycamorekeel/internal/catalogsync"
 	"sycamorekeel.example/sycamorekeel/internal/locality"
 	"sycamorekeel.example/sycamorekeel/internal/membership"
-	"sycamorekeel.example/sycamorekeel/internal/pagepack"
+	"sycamorekeel.example/sycamorekeel/internal/pagecodec"
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 	"sycamorekeel.example/sycamorekeel/internal/quarantine"
 	"sycamorekeel.example/sycamorekeel/internal/traffic"
@@ -63,7 +63,7 @@
 func (d *Daemon) join(ctx context.Context) error {
 	seeds := otherSeeds(d.settings.Load())
 	if !d.syncer.querySeeds(seeds, false) {
-		d.syncer.step((*follow.Follower).SeedsEmpty)
+		d.syncer.step((*catalogsync.Follower).SeedsEmpty)
 	}
 	for _, wait := range refreshDelays {
 		select {
@@ -165,7 +165,7 @@
 	s.poison.HandleEntries(address, page.Quarantine)
 	for _, m := range page.Members {
 		if m.PeerAddress == address && page.Revision > 0 {
-			s.onPeerPosition(m, catalog.Position{Era: page.Era, Revision: page.Revision}, follow.Unconfirmed)
+			s.onPeerPosition(m, catalog.Position{Era: page.Era, Revision: page.Revision}, catalogsync.Unconfirmed)
 		}
 	}
 	return page.Revision
@@ -193,7 +193,7 @@
 	if allMembers {
 		timeout = refreshTimeout
 	}
-	return s.fetch(req, traffic.Members, follow.Pull{Address: address, StallTimeout: timeout, Timeout: timeout}, catalog.Document{})
+	return s.fetch(req, traffic.Members, catalogsync.Pull{Address: address, StallTimeout: timeout, Timeout: timeout}, catalog.Document{})
 }
 
 // memberListFor returns the encoded answer to a joining VM and adds that VM's entry,
@@ -213,10 +213,10 @@
 	ctx.Response.Header.SetContentEncoding(packedEncoding)
 	self := s.self()
 	if !args.Has(argAllMembers) && string(args.Peek(argRegion)) != self.Region {
-		return pagepack.Pack(s.memberPage([]*pb.MemberUpdate{self}), catalog.Document{})
+		return pagecodec.Pack(s.memberPage([]*pb.MemberUpdate{self}), catalog.Document{})
 	}
 	return s.memberList.get(time.Now(), func() ([]byte, error) {
-		return pagepack.Pack(s.memberPage(s.memberUpdates()), catalog.Document{})
+		return pagecodec.Pack(s.memberPage(s.memberUpdates()), catalog.Document{})
 	})
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -23,16 +23,16 @@
 	"golang.org/x/sync/errgroup"
 
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
-	"sycamorekeel.example/sycamorekeel/internal/direct"
+	"sycamorekeel.example/sycamorekeel/internal/catalogsync"
+	"sycamorekeel.example/sycamorekeel/internal/connpool"
+	"sycamorekeel.example/sycamorekeel/internal/cpulag"
 	"sycamorekeel.example/sycamorekeel/internal/edge"
-	"sycamorekeel.example/sycamorekeel/internal/follow"
 	"sycamorekeel.example/sycamorekeel/internal/gossip"
 	"sycamorekeel.example/sycamorekeel/internal/locality"
 	"sycamorekeel.example/sycamorekeel/internal/logring"
 	"sycamorekeel.example/sycamorekeel/internal/membership"
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 	"sycamorekeel.example/sycamorekeel/internal/placement"
-	"sycamorekeel.example/sycamorekeel/internal/strain"
 	"sycamorekeel.example/sycamorekeel/internal/traffic"
 )
 
@@ -78,7 +78,7 @@
 type Adapter struct {
 	Store     Store
 	Decoder   catalog.Decoder
-	Upstreams direct.Protocol
+	Upstreams connpool.Protocol
 	// Callers returns the handler that passes callers' requests to the engine.
 	// leaving reports whether the VM is shutting down.
 	Callers func(e *edge.Engine, leaving func() bool) CallerHandler
@@ -172,7 +172,7 @@
 		countBytes: func(p traffic.Purpose, address string, bytes int) {
 			d.traffic.Add(p, d.distanceTo(address), bytes)
 		},
-		follower: follow.New(now, follow.Options{
+		follower: catalogsync.New(now, catalogsync.Options{
 			VM:          set.VM,
 			Place:       placeOf(set),
 			ChangeBound: set.ChangeBound,
@@ -265,7 +265,7 @@
 
 // announce publishes the catalog position and the time of its last confirmation
 // through gossip. A non-nil push sends them to peers immediately.
-func (d *Daemon) announce(at catalog.Position, confirmed time.Time, push *follow.Announce) {
+func (d *Daemon) announce(at catalog.Position, confirmed time.Time, push *catalogsync.Announce) {
 	d.gossip.SetConfirmed(at.Era, at.Revision, confirmed)
 	if push != nil {
 		d.gossip.Announce(push.AllRegions)
@@ -450,9 +450,9 @@
 // watchStrain measures the scheduling delay of this process and reduces the
 // published capacity while the process gets too little CPU time.
 func (d *Daemon) watchStrain(ctx context.Context) error {
-	t := time.NewTicker(strain.Interval)
+	t := time.NewTicker(cpulag.Interval)
 	defer t.Stop()
-	var m strain.Meter
+	var m cpulag.Meter
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/node/pages.go
+++ b/internal/node/pages.go
@@ -13,8 +13,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
-	"sycamorekeel.example/sycamorekeel/internal/follow"
-	"sycamorekeel.example/sycamorekeel/internal/pagepack"
+	"sycamorekeel.example/sycamorekeel/internal/catalogsync"
+	"sycamorekeel.example/sycamorekeel/internal/pagecodec"
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 	"sycamorekeel.example/sycamorekeel/internal/traffic"
 )
@@ -42,7 +42,7 @@
 )
 
 // fetchCatalog requests a peer's catalog changes after a position.
-func (s *catalogSyncer) fetchCatalog(p follow.Pull) (*pb.CatalogPage, error) {
+func (s *catalogSyncer) fetchCatalog(p catalogsync.Pull) (*pb.CatalogPage, error) {
 	base := s.packingBase()
 	req := newPeerRequest(p.Address, catalogPath)
 	defer fasthttp.ReleaseRequest(req)
@@ -83,11 +83,11 @@
 
 // fetch sends a request to a peer and decodes the page in the response. It returns a
 // trace.BadParameter error if the page cannot be decoded.
-func (s *catalogSyncer) fetch(req *fasthttp.Request, purpose traffic.Purpose, p follow.Pull, base catalog.Document) (*pb.CatalogPage, error) {
+func (s *catalogSyncer) fetch(req *fasthttp.Request, purpose traffic.Purpose, p catalogsync.Pull, base catalog.Document) (*pb.CatalogPage, error) {
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	client := &fasthttp.HostClient{
-		Addr: p.Address, MaxResponseBodySize: pagepack.MaxPage, NoDefaultUserAgentHeader: true, MaxIdemponentCallAttempts: 1,
+		Addr: p.Address, MaxResponseBodySize: pagecodec.MaxPage, NoDefaultUserAgentHeader: true, MaxIdemponentCallAttempts: 1,
 		DialTimeout: func(addr string, _ time.Duration) (net.Conn, error) {
 			conn, err := dialWithIdleTimeout(addr, p.StallTimeout)
 			if err != nil {
@@ -104,7 +104,7 @@
 	}
 	s.met.pulledBytes.Add(float64(len(resp.Body())))
 	if string(resp.Header.ContentEncoding()) == packedEncoding {
-		return pagepack.Unpack(resp.Body(), base)
+		return pagecodec.Unpack(resp.Body(), base)
 	}
 	page := &pb.CatalogPage{}
 	if err := proto.Unmarshal(resp.Body(), page); err != nil {
@@ -260,7 +260,7 @@
 	}
 	body, err, _ := s.pages.encoding.Do(key.String(), func() (any, error) {
 		page, document := s.pageSince(after, base)
-		body, err := pagepack.Pack(page, document)
+		body, err := pagecodec.Pack(page, document)
 		if err == nil {
 			s.pages.put(catalog.Position{Era: page.Era, Revision: page.Revision}, key, body)
 		}
--- a/internal/node/pages_test.go
+++ b/internal/node/pages_test.go
@@ -16,7 +16,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
-	"sycamorekeel.example/sycamorekeel/internal/follow"
+	"sycamorekeel.example/sycamorekeel/internal/catalogsync"
 	"sycamorekeel.example/sycamorekeel/internal/pb"
 	"sycamorekeel.example/sycamorekeel/internal/routing"
 	"sycamorekeel.example/sycamorekeel/internal/traffic"
@@ -42,7 +42,7 @@
 	now := time.Now()
 	s := &catalogSyncer{countBytes: func(traffic.Purpose, string, int) {},
 		log: zap.NewNop(), met: newCatalogMetrics(prometheus.NewRegistry()),
-		follower: follow.New(now, follow.Options{VM: "a", ChangeBound: time.Second, Decoder: stubDecoder{}, Random: rand.New(rand.NewPCG(1, 1))}),
+		follower: catalogsync.New(now, catalogsync.Options{VM: "a", ChangeBound: time.Second, Decoder: stubDecoder{}, Random: rand.New(rand.NewPCG(1, 1))}),
 	}
 	for i, text := range texts {
 		revision := uint64(i + 1)
@@ -83,8 +83,8 @@
 	return ln.Addr().String()
 }
 
-func pullFrom(address string, after uint64) follow.Pull {
-	return follow.Pull{ID: 1, Address: address, After: catalog.Position{Revision: after}, StallTimeout: 10 * time.Second, Timeout: 10 * time.Second}
+func pullFrom(address string, after uint64) catalogsync.Pull {
+	return catalogsync.Pull{ID: 1, Address: address, After: catalog.Position{Revision: after}, StallTimeout: 10 * time.Second, Timeout: 10 * time.Second}
 }
 
 // A requester that holds a version which the server also has receives only the
@@ -173,7 +173,7 @@
 	server := newTestSyncer(documentText(1), documentText(2))
 	address := serveLoopback(t, server.servePeer)
 	fetchText := func(after catalog.Position) string {
-		page, err := newTestSyncer().fetchCatalog(follow.Pull{ID: 1, Address: address, After: after, StallTimeout: 10 * time.Second, Timeout: 10 * time.Second})
+		page, err := newTestSyncer().fetchCatalog(catalogsync.Pull{ID: 1, Address: address, After: after, StallTimeout: 10 * time.Second, Timeout: 10 * time.Second})
 		if err != nil || len(page.Items) != 1 {
 			t.Fatalf("%v: %v", after, err)
 		}
@@ -198,14 +198,14 @@
 // the same position after the store has reached it.
 func TestCachedPageOfDisprovedPositionIsNotServed(t *testing.T) {
 	server := newTestSyncer(documentText(1), documentText(2))
-	server.announce = func(catalog.Position, time.Time, *follow.Announce) {}
+	server.announce = func(catalog.Position, time.Time, *catalogsync.Announce) {}
 	address := serveLoopback(t, server.servePeer)
 	pull := pullFrom(address, 0)
 	if _, err := newTestSyncer().fetchCatalog(pull); err != nil {
 		t.Fatal(err)
 	}
 	server.updateState(func(s *catalog.State) { s.Discard(time.Now()) })
-	server.execute([]follow.Action{follow.Disproved{At: catalog.Position{Revision: 2}}}, catalog.Position{}, time.Time{})
+	server.execute([]catalogsync.Action{catalogsync.Disproved{At: catalog.Position{Revision: 2}}}, catalog.Position{}, time.Time{})
 	server.updateState(func(s *catalog.State) {
 		s.Replace(time.Now(), catalog.Position{Revision: 2}, []catalog.Item{{Key: "c", Value: []byte(documentText(3)), Revision: 2}})
 	})
--- a/internal/node/syncer.go
+++ b/internal/node/syncer.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
-	"sycamorekeel.example/sycamorekeel/internal/follow"
+	"sycamorekeel.example/sycamorekeel/internal/catalogsync"
 	"sycamorekeel.example/sycamorekeel/internal/gossip"
 	"sycamorekeel.example/sycamorekeel/internal/membership"
 	"sycamorekeel.example/sycamorekeel/internal/pb"
@@ -40,7 +40,7 @@
 )
 
 // catalogSyncer keeps the catalog in sync with the store and with peers. It feeds
-// events to a follow.Follower and executes the actions that the follower returns.
+// events to a catalogsync.Follower and executes the actions that the follower returns.
 //
 // Lock order: mu and the lock of pages are leaves. Actions are executed after mu is
 // released.
@@ -48,7 +48,7 @@
 	log       *zap.Logger
 	met       *catalogMetrics
 	store     Store
-	announce  func(at catalog.Position, confirmed time.Time, push *follow.Announce)
+	announce  func(at catalog.Position, confirmed time.Time, push *catalogsync.Announce)
 	applyView func(*catalog.View)
 	// countBytes counts bytes exchanged with the peer at an address.
 	countBytes func(p traffic.Purpose, address string, bytes int)
@@ -62,7 +62,7 @@
 	view func() *membership.View
 
 	mu           sync.Mutex
-	follower     *follow.Follower
+	follower     *catalogsync.Follower
 	storeFailing bool
 	// lastEra is the highest era that the store has returned.
 	lastEra uint64
@@ -81,7 +81,7 @@
 	t := time.NewTicker(followInterval)
 	defer t.Stop()
 	for {
-		s.step((*follow.Follower).Tick)
+		s.step((*catalogsync.Follower).Tick)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -91,7 +91,7 @@
 }
 
 // step passes an event to the follower and executes the actions that it returns.
-func (s *catalogSyncer) step(event func(*follow.Follower, time.Time) []follow.Action) {
+func (s *catalogSyncer) step(event func(*catalogsync.Follower, time.Time) []catalogsync.Action) {
 	now := time.Now()
 	s.mu.Lock()
 	actions := event(s.follower, now)
@@ -102,7 +102,7 @@
 	s.readsStore = isReader
 	var view *catalog.View
 	for _, a := range actions {
-		if _, ok := a.(follow.Changed); ok {
+		if _, ok := a.(catalogsync.Changed); ok {
 			view = s.follower.State().View()
 		}
 	}
@@ -142,19 +142,19 @@
 	return s.readsStore
 }
 
-func (s *catalogSyncer) execute(actions []follow.Action, at catalog.Position, confirmed time.Time) {
-	var push *follow.Announce
+func (s *catalogSyncer) execute(actions []catalogsync.Action, at catalog.Position, confirmed time.Time) {
+	var push *catalogsync.Announce
 	for _, a := range actions {
 		switch a := a.(type) {
-		case follow.List:
+		case catalogsync.List:
 			go s.list(a)
-		case follow.Watch:
+		case catalogsync.Watch:
 			go s.watch(a)
-		case follow.Pull:
+		case catalogsync.Pull:
 			go s.pull(a)
-		case follow.Announce:
+		case catalogsync.Announce:
 			push = &a
-		case follow.Disproved:
+		case catalogsync.Disproved:
 			s.met.disproved.Inc()
 			s.pages.reset()
 			s.log.Error("store: position claimed by a peer does not exist, catalog discarded", zap.Stringer("position", a.At))
@@ -163,14 +163,14 @@
 	s.announce(at, confirmed, push)
 }
 
-func (s *catalogSyncer) list(l follow.List) {
+func (s *catalogSyncer) list(l catalogsync.List) {
 	at, items, err := s.store.List(l.AllowStale)
 	s.recordRead("list", err)
 	if err == nil {
 		s.log.Info("store: listed", zap.Stringer("position", at), zap.Int("items", len(items)), zap.Bool("stale", l.AllowStale))
 		s.recordPosition("list", at)
 	}
-	s.step(func(f *follow.Follower, now time.Time) []follow.Action {
+	s.step(func(f *catalogsync.Follower, now time.Time) []catalogsync.Action {
 		switch {
 		case err != nil:
 			return f.ReadFailed(now, false)
@@ -182,13 +182,13 @@
 	})
 }
 
-func (s *catalogSyncer) watch(w follow.Watch) {
+func (s *catalogSyncer) watch(w catalogsync.Watch) {
 	at, changes, err := s.store.Watch(w.After.Revision, w.Wait)
 	s.recordRead("watch", err)
 	if err == nil {
 		s.recordPosition("watch", at)
 	}
-	s.step(func(f *follow.Follower, now time.Time) []follow.Action {
+	s.step(func(f *catalogsync.Follower, now time.Time) []catalogsync.Action {
 		if err != nil {
 			return f.ReadFailed(now, errors.Is(err, ErrCompacted))
 		}
@@ -250,11 +250,11 @@
 }
 
 // pull requests catalog changes from a peer and passes the result to the follower.
-func (s *catalogSyncer) pull(p follow.Pull) {
+func (s *catalogSyncer) pull(p catalogsync.Pull) {
 	start := time.Now()
 	page, err := s.fetchCatalog(p)
 	s.recordPull(p, page, err, time.Since(start))
-	s.step(func(f *follow.Follower, now time.Time) []follow.Action {
+	s.step(func(f *catalogsync.Follower, now time.Time) []catalogsync.Action {
 		if err != nil {
 			return f.PullFailed(now, p.ID)
 		}
@@ -265,7 +265,7 @@
 // recordPull counts a pull, and logs one that failed or was slow together with the
 // highest position that peers claim and the age of this VM's view. In a fleet that
 // falls behind, these lines are the first sign.
-func (s *catalogSyncer) recordPull(p follow.Pull, page *pb.CatalogPage, err error, took time.Duration) {
+func (s *catalogSyncer) recordPull(p catalogsync.Pull, page *pb.CatalogPage, err error, took time.Duration) {
 	s.met.pulls.WithLabelValues(pullResultLabel(err)).Inc()
 	s.met.pullSeconds.Observe(took.Seconds())
 	if err == nil {
@@ -324,7 +324,7 @@
 func (s *catalogSyncer) onAnnouncement(a gossip.Announcement) {
 	age := a.Age
 	if age == 0 {
-		age = follow.Unconfirmed
+		age = catalogsync.Unconfirmed
 	}
 	s.onPeerPosition(a.Sender, catalog.Position{Era: a.Era, Revision: a.Revision}, age)
 }
@@ -332,18 +332,18 @@
 // onPeerPosition passes a peer's position, and the time since the store confirmed it,
 // to the follower.
 func (s *catalogSyncer) onPeerPosition(peer *pb.MemberUpdate, at catalog.Position, age time.Duration) {
-	from := follow.Peer{VM: peer.Vm, Region: peer.Region, DataCentre: peer.DataCentre, Address: peer.PeerAddress}
-	s.step(func(f *follow.Follower, now time.Time) []follow.Action {
+	from := catalogsync.Peer{VM: peer.Vm, Region: peer.Region, DataCentre: peer.DataCentre, Address: peer.PeerAddress}
+	s.step(func(f *catalogsync.Follower, now time.Time) []catalogsync.Action {
 		return f.PeerAnnounced(now, from, at, age)
 	})
 }
 
 // setPeers sets the follower's peers to the serving VMs other than self.
 func (s *catalogSyncer) setPeers(view *membership.View, self string) {
-	var peers []follow.Peer
+	var peers []catalogsync.Peer
 	for _, m := range view.Serving() {
 		if m.VM != self {
-			peers = append(peers, follow.Peer{VM: m.VM, Region: m.Region, DataCentre: m.DataCentre, Address: m.PeerAddress})
+			peers = append(peers, catalogsync.Peer{VM: m.VM, Region: m.Region, DataCentre: m.DataCentre, Address: m.PeerAddress})
 		}
 	}
 	s.mu.Lock()
--- a/internal/pagepack/pagepack.go
+++ b/internal/pagecodec/pagecodec.go
@@ -1,4 +1,4 @@
-// Package pagepack encodes the catalog pages that VMs exchange. A page is compressed
+// Package pagecodec encodes the catalog pages that VMs exchange. A page is compressed
 // with Zstandard, using a document that the receiver already holds as the dictionary if
 // the sender has that document too.
 //
@@ -6,7 +6,7 @@
 // the dictionary, a change of a few bytes would cost the size of the document for each
 // VM: with 1,100 routes, a page takes 176 kB uncompressed, 21 kB compressed, and 0.1 kB
 // compressed against the previous version (BenchmarkPack).
-package pagepack
+package pagecodec
 
 import (
 	"math/bits"
--- a/internal/pagepack/pagepack_test.go
+++ b/internal/pagecodec/pagecodec_test.go
@@ -1,4 +1,4 @@
-package pagepack
+package pagecodec
 
 import (
 	"fmt"
--- a/internal/spread/fleet.go
+++ b/internal/spread/fleet.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
-	"sycamorekeel.example/sycamorekeel/internal/follow"
+	"sycamorekeel.example/sycamorekeel/internal/catalogsync"
 	"sycamorekeel.example/sycamorekeel/internal/locality"
 	"sycamorekeel.example/sycamorekeel/internal/routing"
 )
@@ -98,8 +98,8 @@
 
 // vm is one VM of the fleet.
 type vm struct {
-	peer follow.Peer
-	f    *follow.Follower
+	peer catalogsync.Peer
+	f    *catalogsync.Follower
 	// dead VMs do nothing; cut ones do not reach the store.
 	dead, cut bool
 	// due are the answers on their way.
@@ -114,7 +114,7 @@
 // answer is something that comes to a VM at a time.
 type answer struct {
 	at   time.Time
-	give func() []follow.Action
+	give func() []catalogsync.Action
 }
 
 // New is a fleet of which all processes start at the same moment.
@@ -126,7 +126,7 @@
 	if opts.Restart {
 		// The VMs get to know each other a little later, as their seeds do not answer.
 		for _, v := range fl.vms {
-			fl.later(v, aloneAfter, func() []follow.Action { return v.f.SeedsEmpty(fl.now) })
+			fl.later(v, aloneAfter, func() []catalogsync.Action { return v.f.SeedsEmpty(fl.now) })
 		}
 		return fl
 	}
@@ -139,8 +139,8 @@
 	region := fmt.Sprintf("r%d", i%regions)
 	dataCentre := fmt.Sprintf("%s-%d", region, i/regions%2)
 	v := &vm{
-		peer: follow.Peer{VM: name, Region: region, DataCentre: dataCentre, Address: name},
-		f: follow.New(startTime, follow.Options{
+		peer: catalogsync.Peer{VM: name, Region: region, DataCentre: dataCentre, Address: name},
+		f: catalogsync.New(startTime, catalogsync.Options{
 			VM: name, Place: locality.Place{Region: region, DataCentre: dataCentre}, ChangeBound: fl.opts.Bound, FirstStart: !fl.opts.Restart, Seed: i < seeds, Decoder: decoder{},
 			Random: rand.New(rand.NewPCG(fl.opts.Seed, uint64(i))),
 		}),
@@ -196,7 +196,7 @@
 // SetPeers tells every VM which others live.
 func (fl *Fleet) SetPeers() {
 	for _, v := range fl.vms {
-		var peers []follow.Peer
+		var peers []catalogsync.Peer
 		for _, o := range fl.vms {
 			if o != v && !o.dead {
 				peers = append(peers, o.peer)
@@ -388,17 +388,17 @@
 }
 
 // do carries out what a follower asks for.
-func (fl *Fleet) do(v *vm, actions []follow.Action) {
+func (fl *Fleet) do(v *vm, actions []catalogsync.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case follow.List:
+		case catalogsync.List:
 			fl.list(v, a.AllowStale)
-		case follow.Watch:
+		case catalogsync.Watch:
 			fl.watch(v, a, fl.now.Add(a.Wait))
 			fl.traffic.StoreCalls++
-		case follow.Pull:
+		case catalogsync.Pull:
 			fl.pull(v, a)
-		case follow.Announce:
+		case catalogsync.Announce:
 			fl.announce(v, a.AllRegions)
 		}
 	}
@@ -452,12 +452,12 @@
 	}
 	at, age := v.f.State().Position(), fl.now.Sub(v.f.Confirmed())
 	if v.f.Confirmed().IsZero() {
-		age = follow.Unconfirmed
+		age = catalogsync.Unconfirmed
 	}
-	fl.later(to, hop, func() []follow.Action { return to.f.PeerAnnounced(fl.now, v.peer, at, age) })
+	fl.later(to, hop, func() []catalogsync.Action { return to.f.PeerAnnounced(fl.now, v.peer, at, age) })
 }
 
 // later gives an answer after a while, unless the VM is dead by then.
-func (fl *Fleet) later(v *vm, d time.Duration, give func() []follow.Action) {
+func (fl *Fleet) later(v *vm, d time.Duration, give func() []catalogsync.Action) {
 	v.due = append(v.due, answer{fl.now.Add(d), give})
 }
--- a/internal/spread/links.go
+++ b/internal/spread/links.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
-	"sycamorekeel.example/sycamorekeel/internal/follow"
+	"sycamorekeel.example/sycamorekeel/internal/catalogsync"
 )
 
 const (
@@ -29,9 +29,9 @@
 	from, to *link
 	receiver *vm
 	left     float64
-	give     func() []follow.Action
+	give     func() []catalogsync.Action
 	giveUp   time.Time
-	fail     func() []follow.Action
+	fail     func() []catalogsync.Action
 }
 
 // Kind is the bytes between VMs that took one kind of way.
@@ -68,7 +68,7 @@
 func (t *Traffic) Pages() float64 { return t.Inside.Pages + t.DataCentres.Pages + t.Regions.Pages }
 
 // send begins a transfer to a VM, which gives it up after a while.
-func (fl *Fleet) send(from *link, to *vm, bytes float64, patience time.Duration, give, fail func() []follow.Action) {
+func (fl *Fleet) send(from *link, to *vm, bytes float64, patience time.Duration, give, fail func() []catalogsync.Action) {
 	tr := &transfer{from: from, to: &to.link, receiver: to, left: bytes, give: give, fail: fail, giveUp: fl.now.Add(patience)}
 	tr.from.nUp++
 	tr.to.nDown++
@@ -119,10 +119,10 @@
 }
 
 // pull asks a peer for a page.
-func (fl *Fleet) pull(v *vm, p follow.Pull) {
+func (fl *Fleet) pull(v *vm, p catalogsync.Pull) {
 	fl.traffic.Pulls++
 	from := fl.find(p.Address)
-	fail := func() []follow.Action {
+	fail := func() []catalogsync.Action {
 		fl.traffic.PullsGivenUp++
 		return v.f.PullFailed(fl.now, p.ID)
 	}
@@ -132,7 +132,7 @@
 	}
 	page := from.f.State().PageSince(p.After)
 	size := fl.pageBytes(from, v, page.Items)
-	fl.send(&from.link, v, size, p.Timeout, func() []follow.Action {
+	fl.send(&from.link, v, size, p.Timeout, func() []catalogsync.Action {
 		fl.traffic.between(from, v).Pages += size
 		return v.f.Pulled(fl.now, p.ID, page)
 	}, fail)
--- a/internal/spread/store.go
+++ b/internal/spread/store.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
-	"sycamorekeel.example/sycamorekeel/internal/follow"
+	"sycamorekeel.example/sycamorekeel/internal/catalogsync"
 )
 
 const (
@@ -152,7 +152,7 @@
 	} else {
 		fl.traffic.StoreCalls++
 	}
-	fail := func() []follow.Action { return v.f.ReadFailed(fl.now, false) }
+	fail := func() []catalogsync.Action { return v.f.ReadFailed(fl.now, false) }
 	if fl.store.refuses {
 		fl.later(v, 2*hop, fail)
 		return
@@ -165,13 +165,13 @@
 	if stale && fl.store.former != nil {
 		at, items = fl.store.showFormer()
 	}
-	fl.fromStore(v, items, listPatience, func() []follow.Action { return give(fl.now, at, items) }, fail)
+	fl.fromStore(v, items, listPatience, func() []catalogsync.Action { return give(fl.now, at, items) }, fail)
 }
 
 // watch answers when the store has moved on or the wait is over.
-func (fl *Fleet) watch(v *vm, w follow.Watch, until time.Time) {
-	fail := func() []follow.Action { return v.f.ReadFailed(fl.now, false) }
-	fl.later(v, hop, func() []follow.Action {
+func (fl *Fleet) watch(v *vm, w catalogsync.Watch, until time.Time) {
+	fail := func() []catalogsync.Action { return v.f.ReadFailed(fl.now, false) }
+	fl.later(v, hop, func() []catalogsync.Action {
 		switch {
 		case fl.store.refuses:
 			return fail()
@@ -187,13 +187,13 @@
 		}
 		at, changes := fl.store.at, fl.store.above(w.After.Revision)
 		patience := until.Add(watchSlack).Sub(fl.now)
-		fl.fromStore(v, changes, patience, func() []follow.Action { return v.f.Watched(fl.now, w.After, at, changes) }, fail)
+		fl.fromStore(v, changes, patience, func() []catalogsync.Action { return v.f.Watched(fl.now, w.After, at, changes) }, fail)
 		return nil
 	})
 }
 
 // fromStore begins an answer of the store.
-func (fl *Fleet) fromStore(v *vm, items []catalog.Item, patience time.Duration, give, fail func() []follow.Action) {
+func (fl *Fleet) fromStore(v *vm, items []catalog.Item, patience time.Duration, give, fail func() []catalogsync.Action) {
 	size := overhead + storeText*sizeOf(items)
 	fl.traffic.StoreBytes += size
 	fl.send(&fl.store.link, v, size, patience, give, fail)
--- a/internal/wire/ingress.go
+++ b/internal/wire/ingress.go
@@ -11,7 +11,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"sycamorekeel.example/sycamorekeel/internal/direct"
+	"sycamorekeel.example/sycamorekeel/internal/connpool"
 	"sycamorekeel.example/sycamorekeel/internal/edge"
 	"sycamorekeel.example/sycamorekeel/internal/routing"
 	"sycamorekeel.example/sycamorekeel/internal/scatter"
@@ -50,7 +50,7 @@
 // HandleError responds to a request that could not be read; err is the read error. fasthttp
 // then closes the connection.
 func (in *Ingress) HandleError(ctx *fasthttp.RequestCtx, err error) {
-	r := &edge.Request{Received: time.Now(), Message: &direct.Message{}}
+	r := &edge.Request{Received: time.Now(), Message: &connpool.Message{}}
 	a := in.engine.Refuse(r, readErrorReason(err))
 	in.writeRefusal(ctx, r, &a)
 }
@@ -82,7 +82,7 @@
 		Path:     requestPath(string(h.RequestURI())),
 		Received: time.Now(),
 		Conn:     ctx.Conn(),
-		Message: &direct.Message{
+		Message: &connpool.Message{
 			ID:     string(h.Peek(in.names.RequestID)),
 			Header: h,
 			Body:   bytes.Clone(ctx.Request.Body()),
--- a/internal/wire/upstream.go
+++ b/internal/wire/upstream.go
@@ -9,15 +9,15 @@
 	"github.com/valyala/fasthttp"
 
 	"sycamorekeel.example/sycamorekeel/internal/catalog"
-	"sycamorekeel.example/sycamorekeel/internal/direct"
+	"sycamorekeel.example/sycamorekeel/internal/connpool"
 	"sycamorekeel.example/sycamorekeel/internal/scatter"
 )
 
-// UpstreamProtocol implements direct.Protocol over HTTP.
+// UpstreamProtocol implements connpool.Protocol over HTTP.
 type UpstreamProtocol struct{ Names HeaderNames }
 
-// Encode implements direct.Protocol.
-func (up UpstreamProtocol) Encode(req *fasthttp.Request, m *direct.Message, u *catalog.Upstream, left time.Duration) {
+// Encode implements connpool.Protocol.
+func (up UpstreamProtocol) Encode(req *fasthttp.Request, m *connpool.Message, u *catalog.Upstream, left time.Duration) {
 	m.Header.CopyTo(&req.Header)
 	req.Header.Set(up.Names.RequestID, m.ID)
 	req.Header.Set(up.Names.Deadline, strconv.FormatInt(left.Milliseconds(), 10))
@@ -26,8 +26,8 @@
 	req.SetBodyRaw(m.Body)
 }
 
-// Decode implements direct.Protocol.
-func (up UpstreamProtocol) Decode(resp *fasthttp.Response, m *direct.Message) (scatter.Result, string, string) {
+// Decode implements connpool.Protocol.
+func (up UpstreamProtocol) Decode(resp *fasthttp.Response, m *connpool.Message) (scatter.Result, string, string) {
 	if id := resp.Header.Peek(up.Names.RequestID); len(id) > 0 && string(id) != m.ID {
 		return scatter.Lost, "", "the answer is to another request"
 	}
@@ -60,8 +60,8 @@
 	loadCounts = 3
 )
 
-// DecodeLoad implements direct.Protocol. A report with any value out of range is ignored.
-func (up UpstreamProtocol) DecodeLoad(resp *fasthttp.Response) *direct.Load {
+// DecodeLoad implements connpool.Protocol. A report with any value out of range is ignored.
+func (up UpstreamProtocol) DecodeLoad(resp *fasthttp.Response) *connpool.Load {
 	text := string(resp.Header.Peek(up.Names.Load))
 	if text == "" {
 		return nil
@@ -78,7 +78,7 @@
 		}
 		counts[i] = n
 	}
-	l := &direct.Load{Running: counts[0], Waiting: counts[1], Slots: counts[2], Slowdown: 1}
+	l := &connpool.Load{Running: counts[0], Waiting: counts[1], Slots: counts[2], Slowdown: 1}
 	if len(fields) > loadCounts {
 		pace, err := strconv.ParseFloat(strings.TrimSpace(fields[loadCounts]), 64)
 		if err != nil || !(pace > 0 && pace <= maxPace) {
@@ -92,17 +92,17 @@
 	return l
 }
 
-// DecodeHealth implements direct.Protocol. An upstream that sends no Cold header is warm. An
+// DecodeHealth implements connpool.Protocol. An upstream that sends no Cold header is warm. An
 // invalid value is an error, because such an upstream cannot be trusted.
-func (up UpstreamProtocol) DecodeHealth(resp *fasthttp.Response) (direct.Health, error) {
-	h := direct.Health{Upstream: string(resp.Header.Peek(up.Names.Upstream))}
+func (up UpstreamProtocol) DecodeHealth(resp *fasthttp.Response) (connpool.Health, error) {
+	h := connpool.Health{Upstream: string(resp.Header.Peek(up.Names.Upstream))}
 	text := string(resp.Header.Peek(up.Names.Cold))
 	if text == "" {
 		return h, nil
 	}
 	ms, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(ms >= 0 && ms <= maxColdMS) {
-		return direct.Health{}, trace.BadParameter("%s: must be from 0 to %d, is %q", up.Names.Cold, maxColdMS, text)
+		return connpool.Health{}, trace.BadParameter("%s: must be from 0 to %d, is %q", up.Names.Cold, maxColdMS, text)
 	}
 	h.ColdFor = time.Duration(ms * float64(time.Millisecond))
 	return h, nil
--- a/internal/wire/upstream_test.go
+++ b/internal/wire/upstream_test.go
@@ -6,12 +6,12 @@
 
 	"github.com/valyala/fasthttp"
 
-	"sycamorekeel.example/sycamorekeel/internal/direct"
+	"sycamorekeel.example/sycamorekeel/internal/connpool"
 )
 
 // Guards against taking a malformed or implausible report for an upstream's load.
 func TestDecodeLoad(t *testing.T) {
-	for text, want := range map[string]*direct.Load{
+	for text, want := range map[string]*connpool.Load{
 		"":                nil,
 		"3,0,8":           {Running: 3, Slots: 8, Slowdown: 1},
 		"4, 2, 4, 250":    {Running: 4, Waiting: 2, Slots: 4, Slowdown: 2.5},
