--- a/internal/edge/warm.go
+++ b/internal/edge/warm.go
@@ -54,7 +54,7 @@
 }
 
 // warm reports whether an upstream is known to be warm, or its service has no limit for cold
-// upstreams. For an upstream in doubt it starts a health check and returns false.
+// upstreams. For an unverified upstream it starts a health check and returns false.
 func (e *Engine) warm(v *catalog.View, u *catalog.Upstream) bool {
 	s, limited := e.coldLimitedService(v, u.Service)
 	if !limited {
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -267,7 +267,7 @@
 }
 
 // Broadcast sends quarantine entries to at most limit random members that are alive
-// or suspected. With All it sends them to every such member.
+// or suspected. With AllMembers it sends them to every such member.
 func (n *Node) Broadcast(now time.Time, entries []*pb.QuarantineEntry, limit int) Actions {
 	n.begin(now)
 	for _, r := range n.pick(limit, func(r *record) bool { return r.serves() }) {
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -100,7 +100,7 @@
 	Epoch uint32
 	// Rounds is the length of the chain of crashes, Blocks how often the request was blocked.
 	Rounds, Blocks uint32
-	// Ended identifies the upstreams that ended, at most MaxInstances, as Crash.Start does.
+	// Ended identifies the upstreams that ended, at most MaxInstances, as Crash.Instance does.
 	Ended []uint32
 	// Age is the time since the last crash, or since the request was cleared.
 	Age time.Duration
--- a/internal/share/state.go
+++ b/internal/share/state.go
@@ -47,7 +47,7 @@
 	// failedRequests counts, up to 3, the rounds of requests since the last loan
 	// or since loans covered the demand.
 	failedRequests int
-	// published is the share of the last Set action.
+	// published is the share of the last ApplyShare action.
 	published Share
 	// restarting is set while only loans of a previous incarnation of this VM
 	// delay the entitlement.
@@ -277,7 +277,7 @@
 	return sh
 }
 
-// publishShare emits a Set action if the kind's share changed.
+// publishShare emits an ApplyShare action if the kind's share changed.
 func (s *State) publishShare(now time.Time, kind Kind) {
 	e := s.entries[kind]
 	sh := e.currentShare(now)
--- a/internal/sockpeek/sockpeek.go
+++ b/internal/sockpeek/sockpeek.go
@@ -22,7 +22,7 @@
 )
 
 // Look returns the state of a connection without blocking and without reading from it.
-// Connections that are not sockets are Quiet.
+// Connections that are not sockets are Idle.
 func Look(nc net.Conn) State {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
